--- a/claim/claim.go
+++ b/claim/claim.go
@@ -1,19 +1,19 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package claim keeps one owner for each cell, through one row of the store.
+// Package claim implements the lease by which a cell has at most one owner.
 //
-// The row is the cell's Lease. It names the owner and its epoch, which rises
-// with each change of owner. An owner writes the lease again with everything
-// that it writes, on the condition that nobody else did in between. That one
-// row serves three ends:
+// The lease is one row of the store (Lease). It names the owner and the epoch,
+// which rises with each change of owner. The owner rewrites the lease in the same
+// transaction as everything else that it writes, on the condition that the row's
+// version has not changed. This has three effects:
 //
-//   - a former owner's writes are refused, whenever they arrive;
-//   - a write whose answer was lost is settled by reading the lease back: it
-//     holds the mark of the write, or it does not and the same write is sent
-//     again, of which at most one can take effect;
-//   - others see that the owner lives and writes, and read for how long it goes on
-//     without. The lease says when it was written by the store's own clock, so that one
-//     reading shows for how long it has gone unwritten.
+//   - writes of a former owner are refused, however late they arrive;
+//   - a write whose response was lost can be resolved by reading the lease back:
+//     either it bears the mark of that write, or the same write is sent again, and
+//     at most one of the two can take effect;
+//   - other instances see that the owner is alive and for how long its lease is
+//     valid. The lease records the store's own time of the write, so a single read
+//     shows how long ago it was last written.
 package claim
 
 import (
@@ -29,65 +29,65 @@
 	"dewpass.org/rows"
 )
 
-// An owner may give orders that outlast a change of owner for a while after its
-// last write, and says in the lease for how long. Others take a lease only after it
-// has gone unwritten for Margin longer. The while is between ValidLeast and
-// ValidMost: the slower writes are, the longer. ValidLeast is twice the time between the
-// writes of a live owner: nothing starts for as long once an owner is gone.
+// An owner may send orders to workers for a while after its last write, and the lease states for
+// how long (its validity). Another instance may take the lease only once it has not been written
+// for the validity plus Margin. The validity lies between ValidLeast and ValidMost and grows with
+// the time that writes take. ValidLeast is twice the write interval of a live owner; after an owner
+// fails, nothing starts for at least that long.
 const (
 	ValidLeast = 400 * time.Millisecond
 	ValidMost  = 2 * time.Second
 	Margin     = 150 * time.Millisecond
-	// validWrites is how many writes of the length of the last one fit into it.
-	validWrites = 3
+	// writesPerValidity is the validity in multiples of the duration of the last write.
+	writesPerValidity = 3
 )
 
-// AbsentWait is how much longer a lease has to go unwritten before an instance takes it that
-// it names as absent. So long an owner that the store does not answer may go on without an
-// answer of those: an instance that was lost shortly before an outage of the store ended
-// all orders for its length, 4.2 s.
+// AbsentWait is the extra time for which an instance that the lease names as absent must wait
+// before it takes the lease. For as long, an owner without access to the store may go on although
+// the absent instances do not answer it: before this, an instance that was lost shortly before a
+// store outage blocked all orders for the length of the outage (4.2 s).
 const AbsentWait = 8 * time.Second
 
-// Silence is how long a lease that says nothing of it may go unwritten.
+// Silence is how long a lease that states no validity may go unwritten before it may be taken.
 const Silence = ValidMost + Margin
 
-// Table is the table of the cell leases; the cell's name is the part.
+// Table is the table of cell leases. The part is the name of the cell.
 const Table = "cells"
 
-// leaseName is the row's name. It stays what it was at first, since instances of two
-// versions read it during an upgrade.
-const leaseName = "seat"
+// leaseRowName is the name of the lease row. It must not change: instances of different versions
+// read the row during a rolling upgrade.
+const leaseRowName = "seat"
 
 const (
-	// checkEvery is how long a write may be without an answer before the lease
-	// is read to see what became of it.
-	checkEvery = 150 * time.Millisecond
-	// retryPause spaces the tries of a write that was turned away.
-	retryPause = 40 * time.Millisecond
-	// A write that is not there after patience times as long as answers take is
-	// sent again, between patienceLeast and patienceMost: its answer may be lost,
-	// and it may take effect seconds later or never.
-	patience      = 4
-	patienceLeast = 200 * time.Millisecond
-	patienceMost  = 1500 * time.Millisecond
+	// outcomePollInterval is how often the lease is read, while a write has no response, to find
+	// out whether the write took effect.
+	outcomePollInterval = 150 * time.Millisecond
+	// retryDelay is the delay between attempts of a write that failed.
+	retryDelay = 40 * time.Millisecond
+	// A write without a response that has not taken effect is sent again after resendFactor times
+	// the average response time, within the bounds below: its response may be lost, and the write
+	// may take effect seconds later or never.
+	resendFactor   = 4
+	minResendDelay = 200 * time.Millisecond
+	maxResendDelay = 1500 * time.Millisecond
 )
 
-// Lease is the row of a cell: who owns it, and for how long without another write.
+// Lease is the lease row of a cell.
 type Lease struct {
-	// Owner is empty once an owner has left as planned.
+	// Owner is empty after a planned release.
 	Owner string `json:"owner,omitempty"`
 	Boot  string `json:"boot,omitempty"`
 	Addr  string `json:"addr,omitempty"`
 	Epoch uint64 `json:"epoch"`
-	// ValidMS is for how long after this write its owner may give orders, in
-	// milliseconds.
+	// ValidMS is the validity: for how many milliseconds after this write the owner may send
+	// orders.
 	ValidMS int64 `json:"valid_ms,omitempty"`
-	// WrittenMS is when this write was begun, or somewhat later, by the store's clock in
-	// milliseconds; 0 if the writer did not know that clock.
+	// WrittenMS is the time by the store's clock, in milliseconds, at which this write was begun,
+	// or somewhat later; 0 if the writer did not know the store's clock.
 	WrittenMS int64 `json:"written_ms,omitempty"`
-	// Absent names the instances that its owner did not hear when it was written.
+	// Absent names the instances from which the owner did not hear when it wrote the lease.
 	Absent []string `json:"absent,omitempty"`
-	// Mark is unique to each write.
+	// Mark identifies the write.
 	Mark string `json:"mark"`
 }
 
@@ -99,7 +99,7 @@
 	return time.Duration(s.ValidMS)*time.Millisecond + Margin
 }
 
-// SilenceFor returns how long the lease may go unwritten before an instance may take it.
+// SilenceFor returns how long the lease may go unwritten before the given instance may take it.
 func (s Lease) SilenceFor(instance string) time.Duration {
 	if slices.Contains(s.Absent, instance) {
 		return s.Silence() + AbsentWait
@@ -107,66 +107,66 @@
 	return s.Silence()
 }
 
-// Seen is a lease as a reading showed it.
+// Seen is a lease as read from the store.
 type Seen struct {
 	Lease
-	// Ver is the version of its row.
+	// Ver is the version of the row.
 	Ver uint64
-	// Unwritten is for how long it had gone unwritten, by the store's clock: 0 if that is
-	// not known.
+	// Unwritten is how long ago the lease was written, by the store's clock; 0 if unknown.
 	Unwritten time.Duration
 
 	clock storeClock
 }
 
-// SeenIn returns the lease that a reading of Range brought, which was begun at asked.
+// SeenIn returns the lease in the response to a read of Range that was sent at the given time.
 func SeenIn(page rows.Page, asked time.Time) Seen {
 	row := page.One()
 	if row.Ver == 0 && len(page.Bad) > 0 {
 		row.Ver = page.Bad[0].Ver
 	}
-	s := Seen{Lease: decode(row), Ver: row.Ver, clock: storeClock{ms: page.ClockMS, asked: asked}}
+	s := Seen{Lease: decodeLease(row), Ver: row.Ver, clock: storeClock{ms: page.ClockMS, requestedAt: asked}}
 	if s.WrittenMS > 0 && page.ClockMS > s.WrittenMS {
 		s.Unwritten = time.Duration(page.ClockMS-s.WrittenMS) * time.Millisecond
 	}
 	return s
 }
 
-// storeClock is the store's clock as an answer showed it.
+// storeClock is a reading of the store's clock, taken from a response.
 type storeClock struct {
 	ms int64
-	// asked is when the call was begun whose answer it was: the store's clock did not
-	// show more than ms then, and showed ms before the answer came.
-	asked time.Time
+	// requestedAt is when the request was sent. The store's clock showed ms at some time between
+	// then and the response.
+	requestedAt time.Time
 }
 
-// driftShare is how much slower than the store's clock this one may run, in hundredths.
-const driftShare = 3
+// maxDriftPercent is by how much the local clock may run slower than the store's, in percent.
+const maxDriftPercent = 3
 
-// latest returns what the store's clock shows at the most at a time, 0 if it is not known.
-func (c storeClock) latest(now time.Time) int64 {
+// upperBoundMS returns the latest time, in milliseconds, that the store's clock may show now; 0 if
+// the clock is unknown.
+func (c storeClock) upperBoundMS(now time.Time) int64 {
 	if c.ms == 0 {
 		return 0
 	}
-	age := now.Sub(c.asked)
-	age += age * driftShare / 100
-	// Both readings are cut to whole milliseconds.
+	age := now.Sub(c.requestedAt)
+	age += age * maxDriftPercent / 100
+	// Both readings are truncated to whole milliseconds.
 	return c.ms + age.Milliseconds() + 2
 }
 
-// Write is a write of a lease that took effect.
+// Write describes a write of the lease that took effect.
 type Write struct {
-	// Begun is when it was begun, and Ver the version that it made.
+	// Begun is when the write was begun, and Ver the row version that it created.
 	Begun time.Time
 	Ver   uint64
-	// Valid is for how long after Begun the owner may give orders.
+	// Valid is for how long after Begun the owner may send orders.
 	Valid time.Duration
-	// Absent are the instances that it names as absent.
+	// Absent are the instances that the lease names as absent.
 	Absent []string
 }
 
-// Excused returns the instances of which the owner needs no answer to go on for the reason
-// that all others answer it.
+// Excused returns the instances that need not answer the owner: an owner whose lease is no longer
+// valid may go on while all other instances answer it.
 func (w Write) Excused(now time.Time) []string {
 	if now.Sub(w.Begun) < AbsentWait {
 		return w.Absent
@@ -174,35 +174,36 @@
 	return nil
 }
 
-// Claim is an instance's view of a cell's lease. Its exported fields must be
-// set before use. Only Epoch, Held, Valid and Written may be called beside others.
+// Claim takes, renews and releases the lease of a cell on behalf of one instance. Its exported
+// fields must be set before use. Only Epoch, Held, Valid and Written may be called concurrently
+// with other methods.
 type Claim struct {
 	Store rows.Store
 	Cell  string
 	Owner string
 	Boot  string
 	Addr  string
-	// Absent returns the instances that the next write names as absent; nil is none.
+	// Absent returns the instances that the next write names as absent. It may be nil.
 	Absent func() []string
 
-	epoch uint64
-	ver   uint64
-	count uint64
-	// took is how long the last write took.
-	took time.Duration
-	// answers is how long answered writes take.
-	answers time.Duration
-	clock   storeClock
-	written atomic.Pointer[Write]
+	epoch      uint64
+	ver        uint64
+	writeCount uint64
+	// lastWriteTook is the duration of the last write, including retries.
+	lastWriteTook time.Duration
+	// avgResponse is the moving average of response times.
+	avgResponse time.Duration
+	clock       storeClock
+	lastWrite   atomic.Pointer[Write]
 }
 
-// Epoch returns the epoch under which the lease is held.
+// Epoch returns the epoch under which the lease was taken.
 func (c *Claim) Epoch() uint64 { return c.epoch }
 
-// Written returns the last write that took effect: while it is valid, nobody else
-// can hold the lease.
+// Written returns the last write that took effect. No other instance can hold the lease while it is
+// valid.
 func (c *Claim) Written() Write {
-	if w := c.written.Load(); w != nil {
+	if w := c.lastWrite.Load(); w != nil {
 		return *w
 	}
 	return Write{}
@@ -214,14 +215,14 @@
 	return now.Sub(w.Begun) < w.Valid
 }
 
-// Range returns the range that holds nothing but the lease of a cell.
+// Range returns the range that contains only the lease of the cell.
 func Range(cell string) rows.Range {
-	return rows.Only(rows.Key{Table: Table, Part: cell, Name: leaseName})
+	return rows.Only(rows.Key{Table: Table, Part: cell, Name: leaseRowName})
 }
 
-func (c *Claim) key() rows.Key { return rows.Key{Table: Table, Part: c.Cell, Name: leaseName} }
+func (c *Claim) key() rows.Key { return rows.Key{Table: Table, Part: c.Cell, Name: leaseRowName} }
 
-// Read returns the lease as it stands.
+// Read reads the lease from the store.
 func (c *Claim) Read(ctx context.Context) (Seen, error) {
 	asked := clock.Now()
 	page, err := c.Store.Get(ctx, Range(c.Cell))
@@ -231,60 +232,60 @@
 	return SeenIn(page, asked), nil
 }
 
-// unreadable stands for the owner of a lease that cannot be read.
-const unreadable = "?"
+// unreadableOwner is the owner reported for a lease that cannot be decoded.
+const unreadableOwner = "?"
 
-// decode reads the lease in a row. One that cannot be read is taken for that of somebody else,
-// who may go on for as long as any owner does. Its epoch is not known, but not above the row's
-// version, as each change of owner is a write: the next owner's is above both.
-func decode(row rows.Row) Lease {
+// decodeLease decodes the lease in a row. A lease that cannot be decoded is treated as held by
+// another owner with the default validity. Its epoch is unknown, but not above the version of the
+// row, since each change of owner is a write; the next owner's epoch will be above both.
+func decodeLease(row rows.Row) Lease {
 	if row.Ver == 0 {
 		return Lease{}
 	}
 	var s Lease
 	if err := json.Unmarshal(row.Value, &s); err != nil {
-		return Lease{Owner: unreadable, Epoch: row.Ver}
+		return Lease{Owner: unreadableOwner, Epoch: row.Ver}
 	}
 	return s
 }
 
-// Held reports whether the lease is still the Claim's own.
+// Held reads the lease and reports whether this Claim still holds it.
 func (c *Claim) Held(ctx context.Context) (bool, error) {
 	lease, err := c.Read(ctx)
 	return lease.Boot == c.Boot && lease.Owner == c.Owner && lease.Epoch == c.epoch, err
 }
 
-// Take takes the lease that was read before. Its error is of kind Fenced if
-// another instance was first.
+// Take takes the lease as it was read before. It returns an error of kind Fenced if another
+// instance took it first.
 func (c *Claim) Take(ctx context.Context, seen Seen) error {
 	c.epoch, c.ver, c.clock = seen.Epoch+1, seen.Ver, seen.clock
 	_, err := c.write(ctx, c.Owner, rows.Tx{})
 	return err
 }
 
-// Release gives the lease up, so that another instance takes it at once.
+// Release gives the lease up, so that another instance can take it immediately.
 func (c *Claim) Release(ctx context.Context) error {
 	_, err := c.write(ctx, "", rows.Tx{})
 	return err
 }
 
-// Commit writes t together with the lease. It returns the versions of the rows
-// that were expected otherwise, with an error of kind Conflict; an error of
-// kind Fenced if the lease is lost; and goes on trying until ctx ends otherwise.
+// Commit writes t together with the lease and retries until ctx ends. If a row does not have the
+// expected version it returns the rows' current versions and an error of kind Conflict; if the
+// lease is lost, an error of kind Fenced.
 func (c *Claim) Commit(ctx context.Context, t rows.Tx) (rows.Result, error) {
 	return c.write(ctx, c.Owner, t)
 }
 
-// write writes t together with the lease, which names owner.
+// write writes t together with the lease, naming owner as its holder.
 func (c *Claim) write(ctx context.Context, owner string, t rows.Tx) (rows.Result, error) {
-	c.count++
-	valid := min(max(validWrites*c.took, ValidLeast), ValidMost)
-	// However often it is sent, it may be the first sending that takes effect, and
-	// others may count from there.
+	c.writeCount++
+	valid := min(max(writesPerValidity*c.lastWriteTook, ValidLeast), ValidMost)
+	// However often the write is sent, the first attempt may be the one that takes effect, and
+	// other instances may count the validity from then.
 	begun := clock.Now()
 	lease := Lease{
 		Owner: owner, Boot: c.Boot, Addr: c.Addr, Epoch: c.epoch,
-		Mark: c.mark(), ValidMS: valid.Milliseconds(), WrittenMS: c.clock.latest(begun),
+		Mark: c.newMark(), ValidMS: valid.Milliseconds(), WrittenMS: c.clock.upperBoundMS(begun),
 	}
 	if c.Absent != nil {
 		lease.Absent = c.Absent()
@@ -297,27 +298,27 @@
 	t.Put = append([]rows.Row{{Key: c.key(), Value: raw}}, t.Put...)
 	for {
 		t.Expect[0].Ver = c.ver
-		res, err := c.attempt(ctx, t, lease.Mark)
+		res, err := c.sendOnce(ctx, t, lease.Mark)
 		if err == nil {
-			c.took = clock.Since(begun)
-			c.written.Store(&Write{Begun: begun, Ver: c.ver, Valid: valid, Absent: lease.Absent})
+			c.lastWriteTook = clock.Since(begun)
+			c.lastWrite.Store(&Write{Begun: begun, Ver: c.ver, Valid: valid, Absent: lease.Absent})
 		}
 		if err == nil || kind.Is(err, kind.Fenced) || kind.Is(err, kind.Conflict) {
 			return res, err
 		}
-		if err := pause(ctx, retryPause); err != nil {
+		if err := sleep(ctx, retryDelay); err != nil {
 			return res, err
 		}
 	}
 }
 
-// mark returns what no other write bears. The instance's name is part of it: two
-// instances that were started together have had the same Boot.
-func (c *Claim) mark() string {
-	return c.Owner + "/" + c.Boot + "." + strconv.FormatUint(c.count, 10)
+// newMark returns an identifier for the next write. It includes the name of the instance because
+// two instances that were started together have had the same Boot.
+func (c *Claim) newMark() string {
+	return c.Owner + "/" + c.Boot + "." + strconv.FormatUint(c.writeCount, 10)
 }
 
-func pause(ctx context.Context, d time.Duration) error {
+func sleep(ctx context.Context, d time.Duration) error {
 	select {
 	case <-time.After(d):
 		return nil
@@ -326,34 +327,33 @@
 	}
 }
 
-// attempt sends the write once. While there is no answer it looks at the lease.
-func (c *Claim) attempt(ctx context.Context, t rows.Tx, mark string) (rows.Result, error) {
+// sendOnce sends the write once. While there is no response it polls the lease.
+func (c *Claim) sendOnce(ctx context.Context, t rows.Tx, mark string) (rows.Result, error) {
 	begun := clock.Now()
 	send := rows.Attempt{
-		Store: c.Store, Tx: t, Every: checkEvery,
-		Limit: min(max(patience*c.answers, patienceLeast), patienceMost),
-		Look:  func(ctx context.Context) (rows.Result, bool, error) { return c.look(ctx, mark) },
+		Store: c.Store, Tx: t, Every: outcomePollInterval,
+		Limit: min(max(resendFactor*c.avgResponse, minResendDelay), maxResendDelay),
+		Look:  func(ctx context.Context) (rows.Result, bool, error) { return c.readOutcome(ctx, mark) },
 	}
 	res, answered, err := send.Send(ctx)
 	if !answered {
 		return res, err
 	}
 	if err == nil {
-		c.clock = storeClock{ms: res.ClockMS, asked: begun}
-		c.answers += (clock.Since(begun) - c.answers) / answersWeight
+		c.clock = storeClock{ms: res.ClockMS, requestedAt: begun}
+		c.avgResponse += (clock.Since(begun) - c.avgResponse) / responseWeight
 	}
-	return c.settle(ctx, res, err, mark)
+	return c.resolve(ctx, res, err, mark)
 }
 
-// answersWeight is the weight of what was before in how long answers take, as a
-// divisor.
-const answersWeight = 4
+// responseWeight is the divisor of the moving average of response times.
+const responseWeight = 4
 
-// settle turns the answer of a write into what became of it.
-func (c *Claim) settle(ctx context.Context, res rows.Result, err error, mark string) (rows.Result, error) {
+// resolve determines the outcome of a write from the response to it.
+func (c *Claim) resolve(ctx context.Context, res rows.Result, err error, mark string) (rows.Result, error) {
 	switch {
 	case err != nil && kind.Is(err, kind.Lost):
-		if seen, known, err := c.look(ctx, mark); known {
+		if seen, known, err := c.readOutcome(ctx, mark); known {
 			return seen, err
 		}
 		return res, err
@@ -367,14 +367,14 @@
 		if row.Key != c.key() || row.Ver == c.ver {
 			continue
 		}
-		return c.verdict(row, mark)
+		return c.outcomeFrom(row, mark)
 	}
-	return res, kind.New(kind.Conflict, "a row is not as expected")
+	return res, kind.New(kind.Conflict, "a row does not have the expected version")
 }
 
-// look reads the lease and reports whether that tells what became of the write.
-func (c *Claim) look(ctx context.Context, mark string) (rows.Result, bool, error) {
-	ctx, cancel := context.WithTimeout(ctx, 4*checkEvery)
+// readOutcome reads the lease and reports whether it shows the outcome of the write.
+func (c *Claim) readOutcome(ctx context.Context, mark string) (rows.Result, bool, error) {
+	ctx, cancel := context.WithTimeout(ctx, 4*outcomePollInterval)
 	defer cancel()
 	page, err := c.Store.Get(ctx, Range(c.Cell))
 	if err != nil {
@@ -382,25 +382,26 @@
 	}
 	row := page.One()
 	if row.Ver <= c.ver {
-		// Nothing has changed yet, or the answer is a stale one.
+		// The row has not changed yet, or the response is stale.
 		return rows.Result{}, false, nil
 	}
-	res, err := c.verdict(row, mark)
+	res, err := c.outcomeFrom(row, mark)
 	return res, true, err
 }
 
-// verdict is for a lease that has changed: by this write, or by another owner.
-func (c *Claim) verdict(row rows.Row, mark string) (rows.Result, error) {
-	lease := decode(row)
+// outcomeFrom determines the outcome from a lease row that has changed, either by this write or by
+// another owner.
+func (c *Claim) outcomeFrom(row rows.Row, mark string) (rows.Result, error) {
+	lease := decodeLease(row)
 	switch {
 	case lease.Mark == mark:
 		c.ver = row.Ver
 		return rows.Result{Ver: row.Ver}, nil
 	case lease.Owner == c.Owner && lease.Boot == c.Boot && lease.Epoch == c.epoch:
-		// An earlier write of this instance, of which it gave up waiting for the
-		// answer, took effect after all: this one has to be sent again on top.
+		// An earlier write of this instance, whose response it no longer waits for, took effect
+		// after all. This write has to be sent again with the new version.
 		c.ver = row.Ver
-		return rows.Result{}, kind.New(kind.Lost, "an earlier write came late")
+		return rows.Result{}, kind.New(kind.Lost, "an earlier write of this instance took effect first")
 	}
 	return rows.Result{}, kind.New(kind.Fenced, "another instance holds the cell's lease")
 }
--- a/claim/claim_test.go
+++ b/claim/claim_test.go
@@ -20,47 +20,47 @@
 	RunSpecs(t, "claim")
 }
 
-// table is a store of one row, with answers that can be lost.
-type table struct {
+// singleRowStore is a store of one row that can lose writes and responses.
+type singleRowStore struct {
 	mu  sync.Mutex
 	row rows.Row
 	ver uint64
-	// lose says of each write, in turn, whether it takes effect without an
-	// answer (1), later (2), or never (3), or has no answer at all (4).
-	lose []int
-	late []rows.Tx
-	// sent holds when each write came.
-	sent []time.Time
-	// clock is the store's, 0 if it has none.
-	clock int64
-	// slow is how long the answer to a write takes after it took effect.
-	slow time.Duration
+	// faults gives the fault of each write in turn: 1 takes effect without a response, 2 is
+	// delayed, 3 never takes effect, 4 gets no response at all.
+	faults  []int
+	delayed []rows.Tx
+	// sentAt holds the arrival time of each write.
+	sentAt []time.Time
+	// clockMS is the store's clock, 0 if it has none.
+	clockMS int64
+	// responseDelay is the time from the moment a write takes effect to its response.
+	responseDelay time.Duration
 }
 
-func (t *table) apply(tx rows.Tx) rows.Result {
+func (t *singleRowStore) apply(tx rows.Tx) rows.Result {
 	if tx.Expect[0].Ver != t.row.Ver {
 		return rows.Result{Refused: true, Rows: []rows.Row{t.row}}
 	}
 	t.ver++
 	t.row = tx.Put[0]
 	t.row.Ver = t.ver
-	return rows.Result{Ver: t.ver, ClockMS: t.clock}
+	return rows.Result{Ver: t.ver, ClockMS: t.clockMS}
 }
 
-func (t *table) Tx(ctx context.Context, tx rows.Tx) (rows.Result, error) {
+func (t *singleRowStore) Tx(ctx context.Context, tx rows.Tx) (rows.Result, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.sent = append(t.sent, time.Now())
+	t.sentAt = append(t.sentAt, time.Now())
 	how := 0
-	if len(t.lose) > 0 {
-		how, t.lose = t.lose[0], t.lose[1:]
+	if len(t.faults) > 0 {
+		how, t.faults = t.faults[0], t.faults[1:]
 	}
 	switch how {
 	case 1:
 		t.apply(tx)
 		return rows.Result{}, kind.New(kind.Lost, "no answer")
 	case 2:
-		t.late = append(t.late, tx)
+		t.delayed = append(t.delayed, tx)
 		return rows.Result{}, kind.New(kind.Lost, "no answer")
 	case 4:
 		t.mu.Unlock()
@@ -71,22 +71,24 @@
 		return rows.Result{}, kind.New(kind.Lost, "no answer")
 	}
 	res := t.apply(tx)
-	time.Sleep(t.slow)
+	time.Sleep(t.responseDelay)
 	return res, nil
 }
 
-func (t *table) Get(context.Context, rows.Range) (rows.Page, error) {
+func (t *singleRowStore) Get(context.Context, rows.Range) (rows.Page, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.row.Ver == 0 {
-		return rows.Page{ClockMS: t.clock}, nil
+		return rows.Page{ClockMS: t.clockMS}, nil
 	}
-	return rows.Page{Rows: []rows.Row{t.row}, Ver: t.ver, ClockMS: t.clock}, nil
+	return rows.Page{Rows: []rows.Row{t.row}, Ver: t.ver, ClockMS: t.clockMS}, nil
 }
 
-func (t *table) Feed(context.Context, rows.Since) (rows.Page, error) { return rows.Page{}, nil }
+func (t *singleRowStore) Feed(context.Context, rows.Since) (rows.Page, error) {
+	return rows.Page{}, nil
+}
 
-func claimOf(s rows.Store, owner string) *Claim {
+func newClaim(s rows.Store, owner string) *Claim {
 	return &Claim{Store: s, Cell: "c", Owner: owner, Boot: owner + "-boot", Addr: owner}
 }
 
@@ -98,9 +100,9 @@
 }
 
 var _ = Describe("a cell lease", func() {
-	It("has one owner, whose writes others end", func(ctx context.Context) {
-		t := &table{}
-		a, b := claimOf(t, "a"), claimOf(t, "b")
+	It("has one owner, whose writes fail once another instance has taken it", func(ctx context.Context) {
+		t := &singleRowStore{}
+		a, b := newClaim(t, "a"), newClaim(t, "b")
 		take(ctx, a)
 		take(ctx, b)
 		Expect(b.Epoch()).To(BeNumerically(">", a.Epoch()))
@@ -111,17 +113,17 @@
 		Expect(held).To(BeFalse())
 	})
 
-	It("is taken by one of two that saw it free", func(ctx context.Context) {
-		t := &table{}
-		a, b := claimOf(t, "a"), claimOf(t, "b")
+	It("is taken by only one of two instances that saw it free", func(ctx context.Context) {
+		t := &singleRowStore{}
+		a, b := newClaim(t, "a"), newClaim(t, "b")
 		lease, _ := a.Read(ctx)
 		Expect(a.Take(ctx, lease)).To(Succeed())
 		Expect(kind.Is(b.Take(ctx, lease), kind.Fenced)).To(BeTrue())
 	})
 
-	It("is not shared by two whose boots were drawn alike", func(ctx context.Context) {
-		t := &table{}
-		a, b := claimOf(t, "a"), claimOf(t, "b")
+	It("is not shared by two instances that drew the same boot id", func(ctx context.Context) {
+		t := &singleRowStore{}
+		a, b := newClaim(t, "a"), newClaim(t, "b")
 		b.Boot = a.Boot
 		lease, _ := a.Read(ctx)
 		Expect(a.Take(ctx, lease)).To(Succeed())
@@ -131,13 +133,13 @@
 		Expect(held).To(BeFalse())
 	})
 
-	It("says for how long its owner gives orders, longer where writes are slow", func(ctx context.Context) {
-		t := &table{}
-		a := claimOf(t, "a")
+	It("states a validity that grows with the duration of writes", func(ctx context.Context) {
+		t := &singleRowStore{}
+		a := newClaim(t, "a")
 		take(ctx, a)
 		lease, _ := a.Read(ctx)
 		Expect(lease.Silence()).To(Equal(ValidLeast + Margin))
-		a.took = time.Second / 3
+		a.lastWriteTook = time.Second / 3
 		_, err := a.Commit(ctx, rows.Tx{})
 		Expect(err).NotTo(HaveOccurred())
 		lease, _ = a.Read(ctx)
@@ -145,40 +147,40 @@
 		Expect(a.Written().Valid).To(BeNumerically("<", lease.Silence()))
 	})
 
-	// An owner was cut off, and for 0.73 to 0.86 s nothing started, though its lease was
-	// over after 0.55 s: the others counted from when they first saw its last write.
-	It("shows at the first look for how long it has gone unwritten", func(ctx context.Context) {
-		t := &table{clock: 5000}
-		a, b := claimOf(t, "a"), claimOf(t, "b")
+	// Guards against counting the age of a lease only from when it was first read: after an owner
+	// was cut off, nothing started for 0.73 to 0.86 s although its lease expired after 0.55 s.
+	It("shows on the first read how long ago it was written", func(ctx context.Context) {
+		t := &singleRowStore{clockMS: 5000}
+		a, b := newClaim(t, "a"), newClaim(t, "b")
 		take(ctx, a)
 		_, err := a.Commit(ctx, rows.Tx{})
 		Expect(err).NotTo(HaveOccurred())
-		t.clock += 700
+		t.clockMS += 700
 		seen, err := b.Read(ctx)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(seen.Unwritten).To(BeNumerically("<=", 700*time.Millisecond), "never longer than it is")
+		Expect(seen.Unwritten).To(BeNumerically("<=", 700*time.Millisecond), "never longer than it was")
 		Expect(seen.Unwritten).To(BeNumerically(">", 600*time.Millisecond))
 	})
 
-	It("is never written earlier than it says, however long the last answer took", func(ctx context.Context) {
-		t := &table{clock: 5000, slow: 100 * time.Millisecond}
-		a := claimOf(t, "a")
+	It("never states a time before that of the write, however long the last response took", func(ctx context.Context) {
+		t := &singleRowStore{clockMS: 5000, responseDelay: 100 * time.Millisecond}
+		a := newClaim(t, "a")
 		take(ctx, a)
 		first, _ := a.Read(ctx)
-		Expect(first.WrittenMS).To(BeNumerically(">", 5000), "known from the reading before")
+		Expect(first.WrittenMS).To(BeNumerically(">", 5000), "known from the previous read")
 		begun := time.Now()
 		_, err := a.Commit(ctx, rows.Tx{})
 		Expect(err).NotTo(HaveOccurred())
-		// By the store the clock showed 5000 when the answer before was made, a tenth of a
-		// second before it came.
+		// The store's clock showed 5000 when the previous response was generated, 100 ms before it
+		// arrived.
 		second, _ := a.Read(ctx)
-		Expect(second.WrittenMS).To(BeNumerically(">=", 5000+t.slow.Milliseconds()))
+		Expect(second.WrittenMS).To(BeNumerically(">=", 5000+t.responseDelay.Milliseconds()))
 		Expect(time.Since(begun)).To(BeNumerically("<", time.Second))
 	})
 
-	It("names those that its owner does not hear, and excuses them for less time than they wait", func(ctx context.Context) {
-		t := &table{}
-		a := claimOf(t, "a")
+	It("names absent instances, which wait longer to take it than the owner goes on without their answers", func(ctx context.Context) {
+		t := &singleRowStore{}
+		a := newClaim(t, "a")
 		a.Absent = func() []string { return []string{"x"} }
 		take(ctx, a)
 		seen, err := a.Read(ctx)
@@ -190,51 +192,51 @@
 		Expect(w.Excused(w.Begun.Add(AbsentWait))).To(BeEmpty())
 	})
 
-	It("does not count as unwritten where the store's clock is not known", func(ctx context.Context) {
-		t := &table{}
-		a, b := claimOf(t, "a"), claimOf(t, "b")
+	It("has no known age if its writer did not know the store's clock", func(ctx context.Context) {
+		t := &singleRowStore{}
+		a, b := newClaim(t, "a"), newClaim(t, "b")
 		take(ctx, a)
-		t.clock = 90_000
+		t.clockMS = 90_000
 		seen, err := b.Read(ctx)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(seen.Unwritten).To(BeZero())
 	})
 
-	It("settles a write whose answer was lost, done or not", func(ctx context.Context) {
-		t := &table{}
-		a := claimOf(t, "a")
+	It("resolves a write whose response was lost, whether it took effect or not", func(ctx context.Context) {
+		t := &singleRowStore{}
+		a := newClaim(t, "a")
 		take(ctx, a)
 		for _, how := range []int{1, 3} {
 			before := t.ver
-			t.lose = []int{how}
+			t.faults = []int{how}
 			_, err := a.Commit(ctx, rows.Tx{})
 			Expect(err).NotTo(HaveOccurred())
 			Expect(t.ver).To(Equal(before+1), "written once")
 		}
 	})
 
-	It("sends a write again that is not there and has no answer", func(ctx context.Context) {
-		t := &table{}
-		a := claimOf(t, "a")
+	It("resends a write that has neither taken effect nor got a response", func(ctx context.Context) {
+		t := &singleRowStore{}
+		a := newClaim(t, "a")
 		take(ctx, a)
-		t.lose, t.sent = []int{4, 4}, nil
+		t.faults, t.sentAt = []int{4, 4}, nil
 		_, err := a.Commit(ctx, rows.Tx{})
 		Expect(err).NotTo(HaveOccurred())
-		Expect(a.Written().Begun).To(BeTemporally("<=", t.sent[0]), "the first may have been the one that took effect")
+		Expect(a.Written().Begun).To(BeTemporally("<=", t.sentAt[0]), "the first attempt may be the one that took effect")
 	}, SpecTimeout(10*time.Second))
 
-	It("is released although an earlier write comes late", func(ctx context.Context) {
-		t := &table{}
-		a := claimOf(t, "a")
+	It("is released although an earlier write takes effect late", func(ctx context.Context) {
+		t := &singleRowStore{}
+		a := newClaim(t, "a")
 		take(ctx, a)
-		// The answer of this write is never waited for, as at a planned stop.
-		t.lose = []int{2, 3, 3, 3}
+		// The response to this write is not awaited, as during a planned shutdown.
+		t.faults = []int{2, 3, 3, 3}
 		short, cancel := context.WithTimeout(ctx, 20*time.Millisecond)
 		_, err := a.Commit(short, rows.Tx{})
 		cancel()
 		Expect(err).To(HaveOccurred())
-		t.lose = nil
-		t.apply(t.late[0])
+		t.faults = nil
+		t.apply(t.delayed[0])
 		Expect(a.Release(ctx)).To(Succeed())
 		lease, _ := a.Read(ctx)
 		Expect(lease.Owner).To(BeEmpty())
@@ -242,12 +244,12 @@
 })
 
 var _ = Describe("the store's clock", func() {
-	It("is never taken for earlier than it may be, also long after its last answer", func() {
+	It("is never underestimated, even long after the last response", func() {
 		asked := time.Now()
-		c := storeClock{ms: 1000, asked: asked}
-		// The store's clock may have run up to 3% faster than this one since.
-		Expect(c.latest(asked.Add(10 * time.Second))).To(BeNumerically(">=", 1000+10_300))
-		Expect(c.latest(asked)).To(BeNumerically(">", 1000), "it may have shown almost a millisecond more")
-		Expect(storeClock{}.latest(asked)).To(BeZero())
+		c := storeClock{ms: 1000, requestedAt: asked}
+		// The store's clock may have run up to 3% faster than the local one since.
+		Expect(c.upperBoundMS(asked.Add(10 * time.Second))).To(BeNumerically(">=", 1000+10_300))
+		Expect(c.upperBoundMS(asked)).To(BeNumerically(">", 1000), "the reading is truncated to milliseconds")
+		Expect(storeClock{}.upperBoundMS(asked)).To(BeZero())
 	})
 })
--- a/claim/foreign_test.go
+++ b/claim/foreign_test.go
@@ -11,9 +11,9 @@
 	"dewpass.org/rows"
 )
 
-// A lease that another writer has damaged was taken for one that is free: the next owner began
-// at epoch 1, below the fences that workers had seen, and the former one went on.
-func TestALeaseThatCannotBeReadIsThatOfSomebodyElse(t *testing.T) {
+// Guards against treating a corrupt lease as free: the next owner began at epoch 1, below the
+// fences that workers had already seen, and the former owner went on.
+func TestUnreadableLeaseIsHeldByAnotherOwner(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Now()
 	for _, value := range []string{"", "{", "7", `{"epoch":"x"}`, "\xff"} {
--- a/claim/suspend_test.go
+++ b/claim/suspend_test.go
@@ -15,10 +15,11 @@
 	"dewpass.org/rows"
 )
 
-// A machine that is suspended for some seconds does not count them on its steady clock. An owner
-// that woke took its lease for one written 0.1 s ago, while another had had it for seconds.
+// The monotonic clock does not advance while a machine is suspended. Guards against an owner that
+// resumes, takes its lease for one written 0.1 s ago and goes on although another instance has held
+// it for seconds.
 
-// onlyLease is a store of one row.
+// onlyLease is a store that holds only the lease row.
 type onlyLease struct{ row rows.Row }
 
 func (s *onlyLease) Tx(_ context.Context, t rows.Tx) (rows.Result, error) {
