--- a/driver/carry.go
+++ b/driver/carry.go
@@ -17,174 +17,176 @@
 	"dewpass.org/kind"
 )
 
-// Who decides need not be who sends. An order to start a run bears the text of its job, so
-// that those of a wide step are many times what decided them: 155 starts a second of 1 KB
-// each are more than two thirds of a link of 2 Mbit/s, beside all else that an owner does.
-// While orders are held back, another instance of the workers' hall is given the text once
-// and sends the orders of a few workers. They bear the owner's fences: an order whose
-// carrier is lost is an order without an answer, and no more.
+// The instance that decides need not be the one that sends. A start order contains the
+// specification of its job, so the orders of a wide step take many times the traffic of the
+// decision: 155 starts per second of 1 KB each fill more than two thirds of a 2 Mbit/s link, next
+// to everything else that an owner sends. While orders are held back, another instance in the
+// workers' hall (a carrier) receives the specification once and sends the orders for a few workers.
+// They bear the owner's fences: an order whose carrier fails is simply an order without an answer.
 
 const (
-	// carryStays is for how long orders are carried after some were last held back: longer
-	// than the pauses between the steps of a load that holds them back.
-	carryStays = 2 * time.Second
-	// carryAtOnce is how many orders one carrier gets at once: 16 KB at 1 KB each, 64 ms of
-	// a carrier's link of 2 Mbit/s, and few enough that its loss concerns few workers.
-	carryAtOnce = 16
-	// carryTakes is how much longer than the worker's own answer that of a carrier may
-	// take: two ways between halls, and some time to be scheduled at both ends.
-	carryTakes = 100 * time.Millisecond
+	// carryPeriod is for how long orders are carried after some were last held back. It exceeds the
+	// gaps between the steps of a load that causes throttling.
+	carryPeriod = 2 * time.Second
+	// maxCarryBatch is how many orders a carrier gets at once: 16 KB at 1 KB each, 64 ms of a
+	// carrier's 2 Mbit/s link, and few enough that the loss of a carrier affects few workers.
+	maxCarryBatch = 16
+	// carryOverhead is the extra time for an answer through a carrier: a round trip between halls
+	// plus scheduling delays at both ends.
+	carryOverhead = 100 * time.Millisecond
 )
 
-// StartResult is what became of a StartOrder that was carried.
+// StartResult is the result of a StartOrder sent by a carrier.
 type StartResult struct {
 	Answer StartAnswer
 	Err    error
-	// Took is how long the worker took to answer.
+	// Took is the worker's response time.
 	Took time.Duration
 }
 
-// Carriers are instances that send orders for this one.
+// Carriers are instances that send orders on behalf of this one.
 type Carriers interface {
-	// Ready reports whether there are some.
+	// Ready reports whether carriers are available.
 	Ready() bool
-	// Starts has an instance of a hall send orders to start runs of one step, each given
-	// limit for its answer, and returns their results in their order. Its error is of kind
-	// Unavailable if surely none was sent.
+	// Starts has an instance in hall send orders to start runs of one step, waiting up to limit for
+	// each answer, and returns the results in the order of orders. It returns an error of kind
+	// Unavailable if certainly none was sent.
 	Starts(ctx context.Context, hall string, orders []StartOrder, limit time.Duration) ([]StartResult, error)
-	// Hold has an instance of a hall hold a worker, and gives its answer limit beyond the
-	// order's wait. carried is false if no instance brought an answer of the worker or the
-	// lack of one.
+	// Hold has an instance in hall send a hold order to a worker and wait for the answer up to
+	// limit beyond the order's wait. carried is false if no instance returned the worker's answer
+	// or reported that there was none.
 	Hold(ctx context.Context, hall string, o HoldOrder, limit time.Duration) (a HoldAnswer, carried bool, err error)
 }
 
-// noCarriers are the Carriers of a driver that has none.
+// noCarriers is used when no Carriers are configured.
 type noCarriers struct{}
 
 func (noCarriers) Ready() bool { return false }
 
 func (noCarriers) Starts(context.Context, string, []StartOrder, time.Duration) ([]StartResult, error) {
-	return nil, kind.New(kind.Unavailable, "there is no carrier")
+	return nil, kind.New(kind.Unavailable, "no carriers configured")
 }
 
 func (noCarriers) Hold(context.Context, string, HoldOrder, time.Duration) (HoldAnswer, bool, error) {
 	return HoldAnswer{}, false, nil
 }
 
-// sentStart is an order to start a run that is under way.
-type sentStart struct {
+// pendingStart is a start order in flight.
+type pendingStart struct {
 	StartOrder
 	hall string
-	// number is that of the order at its worker's link, and limit how long the answer is
-	// waited for.
-	number uint64
-	limit  time.Duration
-	// after is a time that the worker's clock was past when the order was sent.
-	after int64
+	// orderNumber identifies the order at its worker's link, and limit is the timeout of its
+	// answer.
+	orderNumber uint64
+	limit       time.Duration
+	// minClockMS is a lower bound of the worker's clock when the order was sent.
+	minClockMS int64
 }
 
-// carries reports whether orders are carried now. The lock is held.
-func (d *Driver) carries(now time.Time) bool {
-	return now.Sub(d.heldBack) < carryStays && d.Carriers.Ready()
+// carrying reports whether orders are sent through carriers now. The lock is held.
+func (d *Driver) carrying(now time.Time) bool {
+	return now.Sub(d.throttledAt) < carryPeriod && d.Carriers.Ready()
 }
 
-// startRuns sends starts. The lock is held.
-func (d *Driver) startRuns(starts []cell.Start, carried bool) {
-	var sent []sentStart
+// sendStarts sends start orders, directly or through carriers. The lock is held.
+func (d *Driver) sendStarts(starts []cell.Start, carried bool) {
+	var sent []pendingStart
 	now := clock.Now()
 	for i := range starts {
-		if o, ok := d.startOrder(&starts[i], now); ok {
+		if o, ok := d.newStartOrder(&starts[i], now); ok {
 			sent = append(sent, o)
 		}
 	}
 	if !carried {
-		d.sendEach(sent)
+		d.sendDirect(sent)
 		return
 	}
 	for len(sent) > 0 {
 		first := &sent[0]
-		together := func(o sentStart) bool { return stepOf(o.Task) == stepOf(first.Task) }
-		var group, rest []sentStart
+		together := func(o pendingStart) bool { return stepOf(o.Task) == stepOf(first.Task) }
+		var group, rest []pendingStart
 		for _, o := range sent {
-			if len(group) < carryAtOnce && together(o) {
+			if len(group) < maxCarryBatch && together(o) {
 				group = append(group, o)
 			} else {
 				rest = append(rest, o)
 			}
 		}
 		sent = rest
-		d.sendGroup(group)
+		d.sendCarried(group)
 	}
 }
 
 func stepOf(t flow.TaskID) flow.StepID { return flow.StepID{Job: t.Job, Time: t.Time, Step: t.Step} }
 
-// startOrder returns the order for a start. The lock is held.
-func (d *Driver) startOrder(s *cell.Start, now time.Time) (sentStart, bool) {
+// newStartOrder returns the order for a start, false if the worker is not attached. The lock is
+// held.
+func (d *Driver) newStartOrder(s *cell.Start, now time.Time) (pendingStart, bool) {
 	l := d.links[s.Worker]
 	if l == nil || !l.attached {
-		// The cell will hear of it when the worker is attached.
-		return sentStart{}, false
+		// The cell learns of it when the worker is attached again.
+		return pendingStart{}, false
 	}
 	o := StartOrder{
 		Target: Target{Worker: s.Worker, Addr: l.addr, Fence: l.fence},
 		Task:   s.Task, Run: s.Run, Text: s.Text, Saved: s.Saved, Ticket: s.Ticket,
-		UntilMS: d.until(l, now),
+		UntilMS: d.newLeaseEnd(l, now),
 	}
 	level.Debug(d.Log).Log("event", "start", "job", s.Task.Job, "step", s.Task.Step, "index", s.Task.Index, "run", s.Run, "worker", s.Worker, "fence", o.Fence)
-	return sentStart{StartOrder: o, hall: l.hall, number: l.sentOrder(now), limit: d.orderTime(l, now), after: l.clockMS}, true
+	return pendingStart{StartOrder: o, hall: l.hall, orderNumber: l.addOrder(now), limit: d.orderTimeout(l, now), minClockMS: l.clockMS}, true
 }
 
-// sendEach sends orders from here. The lock is held.
-func (d *Driver) sendEach(orders []sentStart) {
+// sendDirect sends orders from this instance. The lock is held.
+func (d *Driver) sendDirect(orders []pendingStart) {
 	for _, o := range orders {
-		s := o.start()
+		s := o.sizedStart()
 		size := s.Size()
-		d.starts.Sent(size)
+		d.startWindow.Sent(size)
 		d.spawn(func() { d.sendStart(o, size) })
 	}
 }
 
-// start returns what of a start its size goes by.
-func (o *sentStart) start() cell.Start {
+// sizedStart returns the parts of a start that determine its size.
+func (o *pendingStart) sizedStart() cell.Start {
 	return cell.Start{Text: o.Text, Saved: o.Saved, Ticket: o.Ticket}
 }
 
-// sendStart sends one order.
-func (d *Driver) sendStart(o sentStart, size int) {
-	ctx, cancel := answerWithin(d.ctx, o.limit)
+// sendStart sends one order and applies its result.
+func (d *Driver) sendStart(o pendingStart, size int) {
+	ctx, cancel := withAnswerTimeout(d.ctx, o.limit)
 	defer cancel()
 	sent := clock.Now()
 	a, err := d.Workers.Start(ctx, o.StartOrder)
 	took := clock.Since(sent)
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	queued := d.sendOver(size, took, err != nil)
+	queued := d.sendFinished(size, took, err != nil)
 	d.lateness.Saw(o.Worker, queued, clock.Now())
 	d.startAnswered(&o, StartResult{Answer: a, Err: err, Took: took})
 }
 
-// sendGroup has orders for one step carried, by an instance of the first worker's hall if it
-// can be. The lock is held.
-func (d *Driver) sendGroup(group []sentStart) {
+// sendCarried sends orders for one step through a carrier, preferably one in the first worker's
+// hall. The lock is held.
+func (d *Driver) sendCarried(group []pendingStart) {
 	size := 0
 	for _, o := range group {
-		s := o.start()
+		s := o.sizedStart()
 		size += s.CarriedSize()
 	}
-	d.starts.Sent(size)
+	d.startWindow.Sent(size)
 	d.spawn(func() { d.carry(group, size) })
 }
 
-// carry has orders carried.
-func (d *Driver) carry(group []sentStart, size int) {
+// carry has a carrier send the orders and applies the results. If none was sent, they are sent
+// directly.
+func (d *Driver) carry(group []pendingStart, size int) {
 	orders := make([]StartOrder, 0, len(group))
 	var limit time.Duration
 	for _, o := range group {
 		orders = append(orders, o.StartOrder)
 		limit = max(limit, o.limit)
 	}
-	ctx, cancel := answerWithin(d.ctx, limit+carryTakes)
+	ctx, cancel := withAnswerTimeout(d.ctx, limit+carryOverhead)
 	defer cancel()
 	sent := clock.Now()
 	results, err := d.Carriers.Starts(ctx, group[0].hall, orders, limit)
@@ -192,15 +194,15 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if kind.Is(err, kind.Unavailable) && d.ctx.Err() == nil {
-		d.sendOver(size, took, false)
-		d.sendEach(group)
+		d.sendFinished(size, took, false)
+		d.sendDirect(group)
 		return
 	}
-	// What the worker took is no part of the time that the message to the carrier took.
+	// The workers' response time is not part of the time that the message to the carrier took.
 	longest := slices.MaxFunc(append(results, StartResult{}), func(a, b StartResult) int { return int(a.Took - b.Took) })
-	d.sendOver(size, took-longest.Took, err != nil)
+	d.sendFinished(size, took-longest.Took, err != nil)
 	if err == nil && len(results) != len(group) {
-		err = kind.New(kind.Damaged, "a carrier answered for other orders")
+		err = kind.New(kind.Damaged, "carrier returned a wrong number of results")
 	}
 	for i := range group {
 		r := StartResult{Err: err}
@@ -211,56 +213,56 @@
 	}
 }
 
-// sendOver takes in that a message of starts is not under way any more, and returns for how
-// long it seems to have queued, if its answer came. The lock is held.
-func (d *Driver) sendOver(size int, took time.Duration, lost bool) time.Duration {
+// sendFinished notes that a message with start orders is no longer in flight, and returns for how
+// long it probably queued, if it was answered. The lock is held.
+func (d *Driver) sendFinished(size int, took time.Duration, lost bool) time.Duration {
 	if d.cell.HeldBack() {
-		notify(d.wake)
+		notify(d.placeNow)
 	}
 	now := clock.Now()
 	if lost {
-		d.starts.Lost(size, now)
+		d.startWindow.Lost(size, now)
 		return 0
 	}
-	return d.starts.Answered(size, took, now)
+	return d.startWindow.Answered(size, took, now)
 }
 
-// startAnswered takes in what became of an order to start a run. The lock is held.
-func (d *Driver) startAnswered(o *sentStart, r StartResult) {
+// startAnswered applies the result of a start order. The lock is held.
+func (d *Driver) startAnswered(o *pendingStart, r StartResult) {
 	l := d.links[o.Worker]
 	if l == nil || d.ctx.Err() != nil {
 		return
 	}
 	if kind.Is(r.Err, kind.NotFound) && o.Addr == l.addr {
-		d.dead(l, cell.LossReborn)
+		d.dropDeadWorker(l, cell.LossReborn)
 		return
 	}
-	delete(l.orders, o.number)
+	delete(l.pendingOrders, o.orderNumber)
 	if r.Err != nil {
 		if kind.Is(r.Err, kind.Fenced) && l.fence == o.Fence {
-			go d.lost("worker " + o.Worker + " has seen a higher fence")
+			go d.leaseLost("worker " + o.Worker + " has seen a higher fence")
 			return
 		}
 		if l.fence == o.Fence {
 			level.Info(d.Log).Log("event", "start_lost", "job", o.Task.Job, "worker", o.Worker, "run", o.Run, "limit_ms", o.limit.Milliseconds(), "err", r.Err)
-			l.answers.Lost()
+			l.answerTimes.Lost()
 			d.cell.OrderLost(o.Worker, clock.Now())
-			d.unsure(o.Worker)
-			if hungUp(r.Err) {
+			d.reattach(o.Worker)
+			if closedByPeer(r.Err) {
 				d.cell.HungUp(o.Worker, !errors.Is(r.Err, syscall.ECONNREFUSED))
 			}
 		}
 		return
 	}
 	now, a := clock.Now(), &r.Answer
-	l.answers.Answered(r.Took)
-	if l.fence == o.Fence && !l.fits(a.ClockMS, o.after, now) {
+	l.answerTimes.Answered(r.Took)
+	if l.fence == o.Fence && !l.plausibleClock(a.ClockMS, o.minClockMS, now) {
 		level.Info(d.Log).Log("event", "clock_of_another_life", "worker", o.Worker, "job", o.Task.Job, "run", o.Run, "clock_ms", a.ClockMS, "known_ms", l.clockMS, "known_ms_ago", now.Sub(l.clockAt).Milliseconds())
-		d.unsure(o.Worker)
+		d.reattach(o.Worker)
 		return
 	}
 	if l.fence == o.Fence {
-		l.heardClock(a.ClockMS, now)
+		l.updateClock(a.ClockMS, now)
 	}
 	if a.Outcome != cell.Accepted {
 		level.Info(d.Log).Log("event", "start_refused", "job", o.Task.Job, "step", o.Task.Step, "index", o.Task.Index, "worker", o.Worker, "run", o.Run, "outcome", int(a.Outcome))
@@ -271,12 +273,12 @@
 	d.cell.Started(o.Worker, o.Task, o.Run, a.Outcome, now)
 	if a.Outcome == cell.NoRoom {
 		l.attached = false
-		if l.anew != nil {
-			l.anew()
+		if l.rehold != nil {
+			l.rehold()
 		}
-		notify(l.kick)
+		notify(l.retryNow)
 	}
 	if a.Outcome != cell.Accepted {
-		notify(d.wake)
+		notify(d.placeNow)
 	}
 }
--- a/driver/commit.go
+++ b/driver/commit.go
@@ -16,89 +16,89 @@
 	"dewpass.org/telemetry"
 )
 
-// The tables of jobs. The record of a job is in the part of its cell, which the
-// cell's owner alone writes. A job itself and its home, which makes its id
-// unique and says which cell has it, are in a part by the id, so that jobs that
-// come at the same time do not wait for each other at the store.
+// The tables of jobs. A job's record is in the part of its cell, which only the cell's owner
+// writes. The specification and the home row (which makes the id unique and names the job's cells)
+// are in a part chosen by the id, so that jobs submitted at the same time do not wait for each
+// other in the store.
 const (
 	TableSpecs   = "jobs"
 	TableRecords = "progress"
 	TableHomes   = "homes"
-	// TableEnded holds what is left of jobs that are over. Their other rows are
-	// removed, so that a new owner reads no more than what is still to do.
+	// TableEnded holds a small row for each job that has ended. The other rows are removed, so that
+	// a new owner reads only unfinished jobs.
 	TableEnded = "ended"
 )
 
-// specParts are the parts of jobs: the first digit of their ids.
+// specParts are the parts of the jobs' own rows: the first digit of the job id.
 const specParts = "0123456789abcdef"
 
 func partOf(id string) string { return id[:min(1, len(id))] }
 
-// SpecKey returns the key of a job.
+// SpecKey returns the key of a job's specification.
 func SpecKey(id string) rows.Key { return rows.Key{Table: TableSpecs, Part: partOf(id), Name: id} }
 
-// HomeKey returns the key of the row that says which cell has a job.
+// HomeKey returns the key of the row that names the cells of a job.
 func HomeKey(id string) rows.Key { return rows.Key{Table: TableHomes, Part: partOf(id), Name: id} }
 
-// RecordKey returns the key of the record of a job.
+// RecordKey returns the key of a job's record.
 func RecordKey(cell, id string) rows.Key {
 	return rows.Key{Table: TableRecords, Part: cell, Name: id}
 }
 
-// EndedKey returns the key of what is left of a job that is over.
+// EndedKey returns the key of the row that remains of an ended job.
 func EndedKey(id string) rows.Key { return rows.Key{Table: TableEnded, Part: partOf(id), Name: id} }
 
 const (
-	// commitGap spaces group commits, so that each carries what came meanwhile.
-	commitGap = 18 * time.Millisecond
-	// savesAtOnce and staleAtOnce bound the records that a group commit writes and
-	// removes, so that all stay within rows.MaxEntries.
-	savesAtOnce = 64
-	staleAtOnce = 30
-	// renewEvery is how long the cell lease may go without being written.
-	renewEvery = 200 * time.Millisecond
+	// commitInterval is the minimum delay between group commits, so that each covers several
+	// changes.
+	commitInterval = 18 * time.Millisecond
+	// maxSavesPerCommit and maxStalePerCommit limit the records that a group commit writes and
+	// removes, so that the transaction stays within rows.MaxEntries.
+	maxSavesPerCommit = 64
+	maxStalePerCommit = 30
+	// renewInterval is how often the cell lease is written if nothing else is.
+	renewInterval = 200 * time.Millisecond
 )
 
-// commitLoop writes what is to be kept, in groups.
+// commitLoop persists changes in group commits.
 func (d *Driver) commitLoop() {
-	tick := time.NewTicker(renewEvery)
+	tick := time.NewTicker(renewInterval)
 	defer tick.Stop()
 	for {
 		renew := false
 		select {
-		case <-d.write:
+		case <-d.commitNow:
 		case <-tick.C:
 			renew = true
 		case <-d.ctx.Done():
 			return
 		}
 		if d.commitOnce(renew) {
-			tick.Reset(renewEvery)
+			tick.Reset(renewInterval)
 		}
-		d.sleep(commitGap)
+		d.sleep(commitInterval)
 	}
 }
 
-// group is what one group commit writes.
-type group struct {
+// commitGroup is the content of one group commit.
+type commitGroup struct {
 	saves []cell.Save
-	// stale names the jobs whose records are removed.
+	// stale holds the ids of jobs whose records are removed.
 	stale      []string
 	workerList bool
 	tx         rows.Tx
 }
 
-// gather takes what there is to write. It reports whether there is anything. The
-// lock is held.
-func (d *Driver) gather() (group, bool) {
-	g := group{saves: d.cell.Saves(savesAtOnce), workerList: d.workerListChanged}
+// collectGroup collects the pending changes, and reports whether there are any. The lock is held.
+func (d *Driver) collectGroup() (commitGroup, bool) {
+	g := commitGroup{saves: d.cell.Saves(maxSavesPerCommit), workerList: d.workerListChanged}
 	if g.workerList {
 		d.putWorkerList(&g.tx)
 		d.workerListChanged = false
 	} else {
-		// The rows of a worker list take the place of these.
-		g.stale = d.stale[:min(len(d.stale), staleAtOnce)]
-		d.stale = d.stale[len(g.stale):]
+		// The worker list's rows use up the entries reserved for these.
+		g.stale = d.staleRecords[:min(len(d.staleRecords), maxStalePerCommit)]
+		d.staleRecords = d.staleRecords[len(g.stale):]
 	}
 	for _, id := range g.stale {
 		g.tx.Remove = append(g.tx.Remove, RecordKey(d.Name, id))
@@ -109,14 +109,14 @@
 	return g, len(g.saves)+len(g.stale) > 0 || g.workerList
 }
 
-// commitOnce writes one group, an empty one if renew is set, and reports whether
-// the store has taken it.
+// commitOnce writes one group, and an empty one only if renew is set. It reports whether the store
+// accepted it.
 func (d *Driver) commitOnce(renew bool) bool {
 	d.mu.Lock()
-	g, found := d.gather()
+	g, found := d.collectGroup()
 	if !found && !renew {
 		d.cell.Saved(nil, true)
-		d.announce()
+		d.signalPersisted()
 		d.mu.Unlock()
 		return false
 	}
@@ -124,7 +124,7 @@
 	begun := clock.Now()
 	_, err := d.Claim.Commit(d.ctx, g.tx)
 	if kind.Is(err, kind.Fenced) {
-		d.lost("the cell's lease has another owner")
+		d.leaseLost("another instance holds the cell lease")
 	}
 	d.Scope.Histogram("write_seconds", telemetry.Latency()).RecordDuration(clock.Since(begun))
 	d.Scope.Counter("write_rows_total").Inc(int64(len(g.tx.Put)))
@@ -134,23 +134,24 @@
 	return err == nil
 }
 
-// committed takes in whether the store has taken a group. The lock is held.
-func (d *Driver) committed(g group, ok bool) {
+// committed applies the result of a group commit. The lock is held.
+func (d *Driver) committed(g commitGroup, ok bool) {
 	d.cell.Saved(g.saves, ok)
-	notify(d.wake)
+	notify(d.placeNow)
 	if !ok {
-		d.stale = slices.Concat(g.stale, d.stale)
+		d.staleRecords = slices.Concat(g.stale, d.staleRecords)
 		d.workerListChanged = d.workerListChanged || g.workerList
 		return
 	}
-	d.announce()
+	d.signalPersisted()
 	d.logEnded(g.saves)
 	if d.cell.Dirty() {
-		notify(d.write)
+		notify(d.commitNow)
 	}
 }
 
-// logEnded logs the jobs that are over and kept: the last word on each.
+// logEnded logs the jobs whose end has been persisted. It is the last log line of each job's life
+// cycle.
 func (d *Driver) logEnded(saves []cell.Save) {
 	for _, s := range saves {
 		if s.Record.State.Final() && s.Foreign {
@@ -170,8 +171,8 @@
 	}
 }
 
-// announce tells those who wait that something was kept. The lock is held.
-func (d *Driver) announce() {
-	close(d.kept)
-	d.kept = make(chan struct{})
+// signalPersisted wakes those who wait for changes to be persisted. The lock is held.
+func (d *Driver) signalPersisted() {
+	close(d.persisted)
+	d.persisted = make(chan struct{})
 }
--- a/driver/driver.go
+++ b/driver/driver.go
@@ -22,106 +22,107 @@
 	"dewpass.org/sched"
 )
 
-// Config is what a Driver works with.
+// Config configures a Driver.
 type Config struct {
-	// Name is the cell's.
+	// Name is the name of the cell.
 	Name string
-	// Mine reports whether the workers of a rack are of this cell.
+	// Mine reports whether the workers of a rack belong to this cell.
 	Mine func(rack string) bool
-	// Lease is how long the runs of a worker go on without being renewed, and LeaseMost the
-	// longest that a worker grants, whatever it is told; 0 is Lease.
+	// Lease is how long runs on a worker go on without a renewal, and LeaseMost the longest lease
+	// that a worker grants, whatever it is told. A LeaseMost of 0 stands for Lease.
 	Lease, LeaseMost time.Duration
-	// Former is for how long after the cell lease was taken a former owner may go on.
+	// Former is for how long after this instance took the cell lease a former owner may still send
+	// orders.
 	Former time.Duration
-	// Keep is how long a job that is over can be asked for.
+	// Keep is how long clients can query a job after its end.
 	Keep time.Duration
-	// Claim is this instance's claim to the cell; the Driver is its only user.
+	// Claim holds the cell lease. The Driver is its only user.
 	Claim     *claim.Claim
 	Store     rows.Store
 	Reachable func() bool
 	Workers   Workers
-	// Carriers send orders where this instance cannot send all by itself; nil is none.
+	// Carriers send orders on behalf of this instance when its own link is saturated. It may be
+	// nil.
 	Carriers  Carriers
 	Directory Directory
-	// LinkRate is how many bytes a second this instance's link carries, 0 if not known.
+	// LinkRate is the capacity of this instance's network link in bytes per second, 0 if unknown.
 	LinkRate int
-	// Advise asks the policy, and Callers is how many questions may be under
-	// way at once.
+	// Advise asks the policy, and Callers returns how many such requests may be in flight at once.
 	Advise  func(ctx context.Context, a cell.Ask) (Tickets, error)
 	Callers func() int
-	// HeardByAll reports whether every instance that might take the cell lease is known
-	// to have heard this one lately.
+	// HeardByAll reports whether every instance that might take the cell lease is known to have
+	// heard from this one recently.
 	HeardByAll func() bool
-	// Succeeded returns the jobs of which this instance has heard that they succeeded.
+	// Succeeded returns the jobs that, as other instances have told this one, have succeeded.
 	Succeeded func() []string
 	// Lost is called when another instance holds the cell lease.
 	Lost func()
-	// LoadTimedOut is called when the jobs could not be read in time although the store
-	// answers: another instance may have the means.
+	// LoadTimedOut is called when the jobs could not be read in time although the store answers.
+	// Another instance may have a faster connection to it.
 	LoadTimedOut func()
 	Log          log.Logger
 	Scope        tally.Scope
 }
 
-// Driver runs the cell. Make one with New.
+// Driver runs a cell. Use New to create one.
 type Driver struct {
 	Config
-	ctx    context.Context
-	cancel context.CancelFunc
-	wg     sync.WaitGroup
-	began  time.Time
+	ctx       context.Context
+	cancel    context.CancelFunc
+	wg        sync.WaitGroup
+	startedAt time.Time
 
 	mu    sync.Mutex
 	cell  *cell.Cell
 	links map[string]*link
-	// topFence is the highest fence that any worker was held under.
+	// topFence is the highest fence under which any worker was held.
 	topFence uint64
-	// stale names the jobs whose records are to be removed.
-	stale    []string
-	archives archives
-	// ended holds the jobs that are over and not archived yet.
-	ended  []cell.Over
-	frozen bool
-	loaded bool
-	// scanned is the version up to which the jobs were read.
-	scanned uint64
-	// workerListChanged says that the workers of the cell are not those of the
-	// worker list in the store.
+	// staleRecords holds the ids of jobs whose records are to be removed.
+	staleRecords []string
+	archives     archives
+	// unarchived holds the jobs that have ended and whose end is not archived yet.
+	unarchived []cell.Over
+	frozen     bool
+	loaded     bool
+	// scannedVer is the version of the store up to which the jobs have been read.
+	scannedVer uint64
+	// workerListChanged says that the worker list in the store is out of date.
 	workerListChanged bool
-	// workerListRows is how many rows the worker list in the store may have, and
-	// workerListSize how many workers the last one lists.
+	// workerListRows is the largest number of rows that the worker list in the store may have, and
+	// workerListSize the number of workers in the last one written.
 	workerListRows, workerListSize int
-	// lastRead is when the last whole reading of the directory began; only watch sets it.
-	lastRead time.Time
-	// starts bounds the starts under way by what this instance's link and processor carry.
-	starts window.Window
-	// bad holds why entries of workers could not be used, as last logged.
-	bad map[string]string
-	// lateness follows by how much the answers of workers are late by this side's doing.
+	// directoryReadAt is when the last complete read of the directory began. Only watchDirectory
+	// sets it.
+	directoryReadAt time.Time
+	// startWindow limits the start orders in flight to what this instance's link and CPU can
+	// handle.
+	startWindow window.Window
+	// loggedInvalid holds, by worker, the reason last logged for an invalid entry.
+	loggedInvalid map[string]string
+	// lateness estimates the delay of workers' answers that this side causes.
 	lateness rtt.Common
-	// heldBack is when orders were last held back for want of room to send.
-	heldBack time.Time
-	// attaching holds a place for each worker of a hall that is being attached.
-	attaching map[string]chan struct{}
-	// kept is closed and renewed whenever the store has taken a write.
-	kept chan struct{}
-
-	wake  chan struct{}
-	write chan struct{}
+	// throttledAt is when orders were last held back because the link was full.
+	throttledAt time.Time
+	// attachSlots limits, by hall, how many workers are attached at once.
+	attachSlots map[string]chan struct{}
+	// persisted is closed and replaced whenever the store has accepted a write.
+	persisted chan struct{}
+
+	placeNow  chan struct{}
+	commitNow chan struct{}
 }
 
 const (
-	// runsPerEpoch is how many numbers for runs of one task an epoch has.
+	// runsPerEpoch is the number of run numbers reserved for each task in an epoch.
 	runsPerEpoch = 1 << 12
-	// fencesPerEpoch is how many fences for one worker an epoch has.
+	// fencesPerEpoch is the number of fences reserved for each worker in an epoch.
 	fencesPerEpoch = 1 << 20
-	// placeEvery bounds how long a decision that only time brings may wait.
-	placeEvery = 100 * time.Millisecond
-	// gather is how long events are gathered before a decision.
-	gather = 2 * time.Millisecond
-	// pauseLimit is the gap between two ticks that counts as a pause of the
-	// process.
-	pauseLimit = 900 * time.Millisecond
+	// placeInterval is the longest time between two decisions without an event.
+	placeInterval = 100 * time.Millisecond
+	// batchDelay is how long events are collected before a decision.
+	batchDelay = 2 * time.Millisecond
+	// pauseThreshold is the gap between two ticks from which the process counts as paused.
+	pauseThreshold = 900 * time.Millisecond
 )
 
 // New returns a Driver for a cell lease that has just been taken.
@@ -131,14 +132,14 @@
 		cell:   cell.New(int(c.Claim.Epoch()) * runsPerEpoch),
 		links:  make(map[string]*link),
 
-		attaching: make(map[string]chan struct{}),
-		kept:      make(chan struct{}),
-		wake:      make(chan struct{}, 1),
-		write:     make(chan struct{}, 1),
-		began:     clock.Now(),
+		attachSlots: make(map[string]chan struct{}),
+		persisted:   make(chan struct{}),
+		placeNow:    make(chan struct{}, 1),
+		commitNow:   make(chan struct{}, 1),
+		startedAt:   clock.Now(),
 	}
 	d.cell.Name = c.Name
-	d.starts.Rate = d.LinkRate
+	d.startWindow.Rate = d.LinkRate
 	if d.Carriers == nil {
 		d.Carriers = noCarriers{}
 	}
@@ -146,16 +147,16 @@
 	return d
 }
 
-// Start reads the cell's jobs and then runs until Close.
+// Start begins to read the cell's jobs and to run the cell. It returns at once; Close ends it.
 func (d *Driver) Start() {
 	// The cell lease is renewed while the jobs are read.
 	d.spawn(d.commitLoop)
 	d.spawn(func() {
 		if d.load() {
-			d.spawn(d.watch)
+			d.spawn(d.watchDirectory)
 			d.spawn(d.scan)
 			d.spawn(d.sweep)
-			d.spawn(d.followShares)
+			d.spawn(d.watchShares)
 			d.placeLoop()
 		}
 	})
@@ -169,49 +170,48 @@
 	}()
 }
 
-// Close ends everything at once.
+// Close stops the driver at once and waits for its goroutines.
 func (d *Driver) Close() {
 	d.cancel()
 	d.wg.Wait()
 }
 
-// Freeze lets nothing new start, and ends everything once the orders that are
-// under way have their answers, or after a moment. Ends that are not kept yet
-// come again to the next owner.
+// Freeze stops the start of new runs, waits briefly for the answers to the orders in flight, and
+// closes the driver. Ends that are not persisted yet are listed to the next owner again.
 func (d *Driver) Freeze() {
 	d.mu.Lock()
 	d.frozen = true
 	d.mu.Unlock()
-	for range freezeTries {
-		if !d.ordering() {
+	for range freezePolls {
+		if !d.ordersInFlight() {
 			break
 		}
-		time.Sleep(freezePause)
+		time.Sleep(freezePollInterval)
 	}
 	d.Close()
 }
 
 const (
-	freezePause = 5 * time.Millisecond
-	freezeTries = 10
+	freezePollInterval = 5 * time.Millisecond
+	freezePolls        = 10
 )
 
-// ordering reports whether orders are under way.
-func (d *Driver) ordering() bool {
+// ordersInFlight reports whether there are orders without an answer.
+func (d *Driver) ordersInFlight() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, l := range d.links {
-		if len(l.orders) > 0 {
+		if len(l.pendingOrders) > 0 {
 			return true
 		}
 	}
 	return false
 }
 
-func (d *Driver) keptSignal() <-chan struct{} {
+func (d *Driver) persistedSignal() <-chan struct{} {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.kept
+	return d.persisted
 }
 
 // Configure sets the queues and the client accounts.
@@ -219,7 +219,7 @@
 	d.mu.Lock()
 	d.cell.Configure(queues, accounts...)
 	d.mu.Unlock()
-	notify(d.wake)
+	notify(d.placeNow)
 }
 
 // Ready reports whether the cell's jobs have been read.
@@ -229,8 +229,7 @@
 	return d.loaded && !d.frozen
 }
 
-// Loaded reports whether the cell's jobs have been read, also when it has been given
-// up since.
+// Loaded reports whether the cell's jobs have been read, even if the cell was given up since.
 func (d *Driver) Loaded() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -244,23 +243,22 @@
 	return d.cell.Load()
 }
 
-// State returns the state of a job, and whether the cell has it. It is not
-// known before Ready.
+// State returns the state of a job, and whether the cell has the job. Before Ready it is unknown.
 func (d *Driver) State(id string) (flow.State, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.cell.State(id)
 }
 
-// MayUse reports whether an account may ask for and cancel a job.
+// MayUse reports whether an account may query and cancel a job.
 func (d *Driver) MayUse(id, account string) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.cell.MayUse(id, account)
 }
 
-// Cancel cancels a job and returns once that is kept. Its error is of kind
-// NotFound if the hall does not have the job.
+// Cancel cancels a job and returns once the cancellation is persisted. It returns an error of kind
+// NotFound if the cell does not have the job.
 func (d *Driver) Cancel(ctx context.Context, id string) error {
 	d.mu.Lock()
 	known := d.cell.Cancel(id, clock.Now())
@@ -268,10 +266,10 @@
 	if !known {
 		return kind.New(kind.NotFound, "the cell has no such job")
 	}
-	notify(d.wake)
-	notify(d.write)
+	notify(d.placeNow)
+	notify(d.commitNow)
 	for {
-		kept := d.keptSignal()
+		kept := d.persistedSignal()
 		if s, ok := d.State(id); !ok || s.Final() {
 			return nil
 		}
@@ -283,8 +281,9 @@
 	}
 }
 
-// lost is called when a fence or the store shows another owner.
-func (d *Driver) lost(why string) {
+// leaseLost stops the driver after a fence or the store has shown that another instance owns the
+// cell.
+func (d *Driver) leaseLost(why string) {
 	d.mu.Lock()
 	was := d.frozen
 	d.frozen = true
@@ -298,46 +297,45 @@
 	go d.Lost()
 }
 
-// placeLoop decides whenever something happened.
+// placeLoop runs the cell's decisions after events and at regular intervals.
 func (d *Driver) placeLoop() {
-	tick := time.NewTicker(placeEvery)
+	tick := time.NewTicker(placeInterval)
 	defer tick.Stop()
 	last := clock.Now()
 	tidied := last
 	for {
 		select {
-		case <-d.wake:
-			time.Sleep(gather)
+		case <-d.placeNow:
+			time.Sleep(batchDelay)
 		case <-tick.C:
 		case <-d.ctx.Done():
 			return
 		}
 		now := clock.Now()
-		if now.Sub(last) > pauseLimit && !d.confirm(now.Sub(last)) {
+		if now.Sub(last) > pauseThreshold && !d.confirmLease(now.Sub(last)) {
 			return
 		}
 		last = clock.Now()
-		if now.Sub(tidied) > tidyEvery {
+		if now.Sub(tidied) > housekeepInterval {
 			tidied = now
-			d.tidy(now)
+			d.housekeep(now)
 		}
 		d.place(now)
 	}
 }
 
-// mayOrder reports whether what is ordered now cannot meet the orders of another
-// owner: the cell lease was written lately, or all who could take it hear this
-// instance.
+// mayOrder reports whether orders sent now cannot conflict with those of another owner: the cell
+// lease is valid, or all instances that could take it hear this one.
 func (d *Driver) mayOrder(now time.Time) bool {
 	return d.Claim.Valid(now) || d.HeardByAll()
 }
 
-// confirm makes sure after a pause that the cell lease is still held.
-func (d *Driver) confirm(gap time.Duration) bool {
+// confirmLease checks after a pause of the process that the cell lease is still held.
+func (d *Driver) confirmLease(gap time.Duration) bool {
 	level.Warn(d.Log).Log("event", "paused", "gap_ms", gap.Milliseconds())
 	d.mu.Lock()
 	for id := range d.links {
-		d.unsure(id)
+		d.reattach(id)
 	}
 	d.mu.Unlock()
 	for d.ctx.Err() == nil {
@@ -346,7 +344,7 @@
 		cancel()
 		if err == nil {
 			if !held {
-				d.lost("the cell lease changed hands during a pause")
+				d.leaseLost("another instance took the cell lease during a pause")
 			}
 			return held
 		}
@@ -357,16 +355,16 @@
 	return false
 }
 
-func (d *Driver) tidy(now time.Time) {
+func (d *Driver) housekeep(now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.report()
+	d.updateGauges()
 	d.checkWorkerList()
-	d.tidyUp(now)
+	d.retireJobs(now)
 }
 
-// report sets the gauges of the cell. The lock is held.
-func (d *Driver) report() {
+// updateGauges sets the cell's gauges. The lock is held.
+func (d *Driver) updateGauges() {
 	counts, load := d.cell.Counts(), d.cell.Load()
 	for name, v := range map[string]float64{
 		"runs_started": float64(counts.Started), "runs_done": float64(counts.Done), "runs_failed": float64(counts.Failed),
@@ -378,7 +376,7 @@
 	}
 }
 
-// place lets the cell decide and carries it out.
+// place runs one decision of the cell and carries it out.
 func (d *Driver) place(now time.Time) {
 	d.mu.Lock()
 	if d.frozen || !d.mayOrder(now) {
@@ -386,44 +384,44 @@
 		return
 	}
 	for id, l := range d.links {
-		d.cell.Silent(id, l.silent(now))
+		d.cell.Silent(id, l.hasOverdueOrder(now))
 		if !l.attached {
-			d.cell.LeaseEnds(id, l.over)
+			d.cell.LeaseEnds(id, l.leasesEnd)
 		}
 	}
 	if d.cell.HeldBack() {
-		d.heldBack = now
+		d.throttledAt = now
 	}
-	carried := d.carries(now)
-	d.cell.SendMost(d.starts.Free(), carried)
+	carried := d.carrying(now)
+	d.cell.SendMost(d.startWindow.Free(), carried)
 	a := d.cell.Place(now, clock.Wall(), d.Callers())
-	d.startRuns(a.Starts, carried)
+	d.sendStarts(a.Starts, carried)
 	for i := range a.Stops {
-		d.stopRun(a.Stops[i])
+		d.sendStop(a.Stops[i])
 	}
 	for i := range a.Paces {
-		d.paceRun(a.Paces[i])
+		d.sendPace(a.Paces[i])
 	}
 	d.logWaits(a.Waits)
-	d.logLate(a.Late)
+	d.logLateStarts(a.Late)
 	d.logChanges()
 	d.logLostRuns()
 	for i := range a.Asks {
 		ask := a.Asks[i]
-		d.spawn(func() { d.ask(ask) })
+		d.spawn(func() { d.askPolicy(ask) })
 	}
 	d.archiveEnded()
 	if d.cell.Restless() {
-		// Somebody is to yield: the stops go out with the next decision.
-		notify(d.wake)
+		// Some runs have to yield: they are stopped by the next decision.
+		notify(d.placeNow)
 	}
 	if d.cell.Dirty() {
-		notify(d.write)
+		notify(d.commitNow)
 	}
 	d.mu.Unlock()
 }
 
-func (d *Driver) ask(a cell.Ask) {
+func (d *Driver) askPolicy(a cell.Ask) {
 	ctx, cancel := context.WithTimeout(d.ctx, 2*a.Takes()+time.Second)
 	defer cancel()
 	sent := clock.Now()
@@ -436,13 +434,14 @@
 		return
 	}
 	level.Debug(d.Log).Log("event", "advised", "job", a.Step.Job, "step", a.Step.Step, "asked", len(a.Workers), "good", len(t.Rows), "took_ms", clock.Since(sent).Milliseconds())
-	// The ticket counts from the answer, which took its time after sent.
+	// The validity of a ticket counts from the policy's answer, which was given some time after
+	// sent.
 	valid := a.Advice.Valid
 	if t.Valid > 0 {
 		valid = min(valid, t.Valid)
 	}
 	d.cell.Advised(a, t.Rows, valid, maxTime(sent.Add(a.Takes()), sent))
-	notify(d.wake)
+	notify(d.placeNow)
 }
 
 func maxTime(a, b time.Time) time.Time {
@@ -452,7 +451,7 @@
 	return b
 }
 
-// notify wakes whoever waits on c, which has room for one value. It never blocks.
+// notify wakes the receiver of c, which has a buffer of one. It never blocks.
 func notify(c chan struct{}) {
 	select {
 	case c <- struct{}{}:
--- a/driver/driver_test.go
+++ b/driver/driver_test.go
@@ -29,24 +29,24 @@
 	ginkgo.RunSpecs(t, "driver")
 }
 
-// table is a store in memory that counts and can fail the readings of a part.
-type table struct {
+// memStore is an in-memory store that counts the reads of each part and can fail them.
+type memStore struct {
 	mu   sync.Mutex
 	rows map[rows.Key]rows.Row
 	ver  uint64
-	// fails says how often the readings of a part of the jobs fail.
-	fails map[string]int
-	reads map[string]int
+	// failReads is how many further reads of a part of the jobs fail.
+	failReads map[string]int
+	reads     map[string]int
 }
 
-// rowMost is how many bytes a row may have at the users' store.
-const rowMost = 65536
+// maxRowBytes is the row size limit of the users' store.
+const maxRowBytes = 65536
 
-func newTable() *table {
-	return &table{rows: make(map[rows.Key]rows.Row), fails: make(map[string]int), reads: make(map[string]int)}
+func newTable() *memStore {
+	return &memStore{rows: make(map[rows.Key]rows.Row), failReads: make(map[string]int), reads: make(map[string]int)}
 }
 
-func (t *table) Tx(_ context.Context, tx rows.Tx) (rows.Result, error) {
+func (t *memStore) Tx(_ context.Context, tx rows.Tx) (rows.Result, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if n := len(tx.Expect) + len(tx.Put) + len(tx.Remove); n > rows.MaxEntries {
@@ -58,7 +58,7 @@
 		}
 	}
 	for _, r := range tx.Put {
-		if len(r.Value) > rowMost {
+		if len(r.Value) > maxRowBytes {
 			return rows.Result{}, kind.New(kind.BadRequest, "a value is too long")
 		}
 	}
@@ -73,14 +73,14 @@
 	return rows.Result{Ver: t.ver}, nil
 }
 
-func (t *table) Get(_ context.Context, r rows.Range) (rows.Page, error) {
+func (t *memStore) Get(_ context.Context, r rows.Range) (rows.Page, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if r.Table == TableSpecs {
 		t.reads[r.Part]++
-		if t.fails[r.Part] > 0 {
-			t.fails[r.Part]--
-			return rows.Page{}, kind.New(kind.Lost, "too slow")
+		if t.failReads[r.Part] > 0 {
+			t.failReads[r.Part]--
+			return rows.Page{}, kind.New(kind.Lost, "read timed out")
 		}
 	}
 	page := rows.Page{Ver: t.ver}
@@ -92,32 +92,36 @@
 	return page, nil
 }
 
-func (t *table) Feed(ctx context.Context, _ rows.Since) (rows.Page, error) {
+func (t *memStore) Feed(ctx context.Context, _ rows.Since) (rows.Page, error) {
 	return rows.Page{}, kind.New(kind.Unavailable, "no feed")
 }
 
-func (t *table) has(k rows.Key) bool {
+func (t *memStore) has(k rows.Key) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.rows[k].Ver > 0
 }
 
-// away are workers that cannot be reached.
-type away struct{}
+// unreachable implements Workers; no worker can be reached.
+type unreachable struct{}
 
-var errAway = kind.New(kind.Unavailable, "no answer")
+var errUnreachable = kind.New(kind.Unavailable, "no answer")
 
-func (away) Start(context.Context, StartOrder) (StartAnswer, error) { return StartAnswer{}, errAway }
-func (away) Stop(context.Context, StopOrder) error                  { return errAway }
-func (away) Pace(context.Context, PaceOrder) error                  { return errAway }
-func (away) Hold(context.Context, HoldOrder) (HoldAnswer, error)    { return HoldAnswer{}, errAway }
+func (unreachable) Start(context.Context, StartOrder) (StartAnswer, error) {
+	return StartAnswer{}, errUnreachable
+}
+func (unreachable) Stop(context.Context, StopOrder) error { return errUnreachable }
+func (unreachable) Pace(context.Context, PaceOrder) error { return errUnreachable }
+func (unreachable) Hold(context.Context, HoldOrder) (HoldAnswer, error) {
+	return HoldAnswer{}, errUnreachable
+}
 
-// nobody is a directory without workers.
-type nobody struct{}
+// emptyDirectory is a directory without workers.
+type emptyDirectory struct{}
 
-func (nobody) All(context.Context) ([]Entry, error) { return nil, nil }
+func (emptyDirectory) All(context.Context) ([]Entry, error) { return nil, nil }
 
-func newDriver(ctx context.Context, t *table, loadTimedOut func()) *Driver {
+func newDriver(ctx context.Context, t *memStore, loadTimedOut func()) *Driver {
 	ginkgo.GinkgoHelper()
 	c := &claim.Claim{Store: t, Cell: "c", Owner: "me", Boot: "b"}
 	lease, err := c.Read(ctx)
@@ -125,25 +129,25 @@
 	Expect(c.Take(ctx, lease)).To(Succeed())
 	return New(Config{
 		Name: "c", Lease: time.Second, Keep: time.Hour, Claim: c, Store: t,
-		Workers: away{}, Mine: func(string) bool { return true }, Reachable: func() bool { return true },
-		Directory: nobody{}, Callers: func() int { return 1 }, HeardByAll: func() bool { return true }, Succeeded: func() []string { return nil },
+		Workers: unreachable{}, Mine: func(string) bool { return true }, Reachable: func() bool { return true },
+		Directory: emptyDirectory{}, Callers: func() int { return 1 }, HeardByAll: func() bool { return true }, Succeeded: func() []string { return nil },
 		Lost: func() {}, LoadTimedOut: loadTimedOut, Log: log.NewNopLogger(), Scope: tally.NoopScope,
 	})
 }
 
-func (t *table) putSpec(id string) {
+func (t *memStore) putSpec(id string) {
 	raw, err := json.Marshal(flow.Spec{ID: id, Cell: "c", Queue: "q", Steps: []flow.Step{{Count: 1}}, AcceptedMS: time.Now().UnixMilli()})
 	Expect(err).NotTo(HaveOccurred())
 	_, err = t.Tx(context.Background(), rows.Tx{Put: []rows.Row{{Key: SpecKey(id), Value: raw}}})
 	Expect(err).NotTo(HaveOccurred())
 }
 
-var _ = ginkgo.Describe("a new owner", func() {
-	ginkgo.It("reads again only the parts that it could not read", func(ctx context.Context) {
+var _ = ginkgo.Describe("a new owner of a cell", func() {
+	ginkgo.It("reads only the parts again that it could not read", func(ctx context.Context) {
 		t := newTable()
 		t.putSpec("a1")
 		t.putSpec("b1")
-		t.fails["b"] = 2
+		t.failReads["b"] = 2
 		d := newDriver(ctx, t, func() {})
 		Expect(d.load()).To(BeTrue())
 		Expect(t.reads["a"]).To(Equal(1))
@@ -153,23 +157,23 @@
 		}
 	})
 
-	ginkgo.It("renews its cell lease while it reads, and lets another try if that takes too long", func(ctx context.Context) {
+	ginkgo.It("renews its cell lease while it loads, and gives up if that takes too long", func(ctx context.Context) {
 		t := newTable()
-		t.fails["a"] = 1 << 20
+		t.failReads["a"] = 1 << 20
 		var slow atomic.Bool
 		d := newDriver(ctx, t, func() { slow.Store(true) })
 		before := t.rows[rows.Key{Table: claim.Table, Part: "c", Name: claim.Range("c").From}].Ver
 		d.Start()
 		ginkgo.DeferCleanup(d.Close)
-		Eventually(slow.Load, 2*loadMost, 20*time.Millisecond).Should(BeTrue())
+		Eventually(slow.Load, 2*loadTimeout, 20*time.Millisecond).Should(BeTrue())
 		t.mu.Lock()
 		defer t.mu.Unlock()
 		Expect(t.rows[rows.Key{Table: claim.Table, Part: "c", Name: claim.Range("c").From}].Ver).To(BeNumerically(">", before+4))
 	})
 })
 
-var _ = ginkgo.Describe("an owner", func() {
-	ginkgo.It("gives no orders once its cell lease may be taken, unless all hear it", func(ctx context.Context) {
+var _ = ginkgo.Describe("an owner of a cell", func() {
+	ginkgo.It("sends no orders once its cell lease may be taken, unless all instances hear from it", func(ctx context.Context) {
 		d := newDriver(ctx, newTable(), func() {})
 		heardByAll := false
 		d.HeardByAll = func() bool { return heardByAll }
@@ -180,7 +184,7 @@
 		Expect(d.mayOrder(w.Begun.Add(w.Valid))).To(BeTrue())
 	})
 
-	ginkgo.It("tells of ends that the store does not know only while no other may own the cell", func(ctx context.Context) {
+	ginkgo.It("reports unsaved successes only while no other instance may own the cell", func(ctx context.Context) {
 		d := newDriver(ctx, newTable(), func() {})
 		d.HeardByAll = func() bool { return false }
 		d.Succeeded = func() []string { return []string{"a1"} }
@@ -189,13 +193,13 @@
 		Expect(err).NotTo(HaveOccurred())
 		Expect(d.load()).To(BeTrue())
 		s, _ := d.State("a1")
-		Expect(s).To(Equal(flow.Succeeded), "a peer has heard so from a former owner")
+		Expect(s).To(Equal(flow.Succeeded), "a peer was told so by a former owner")
 		soon := time.Now().Add(time.Second / 4)
 		Expect(d.Unkept(soon)).To(Equal([]string{"a1"}))
 		Expect(d.Unkept(soon.Add(claim.ValidMost))).To(BeEmpty())
 	})
 
-	ginkgo.It("removes the records of jobs that went with their end", func(ctx context.Context) {
+	ginkgo.It("removes the records of jobs whose specification is gone", func(ctx context.Context) {
 		t := newTable()
 		old := RecordKey("c", "over")
 		_, err := t.Tx(ctx, rows.Tx{Put: []rows.Row{{Key: old, Value: flow.Encode(flow.Record{State: flow.Running})}}})
@@ -206,20 +210,20 @@
 		Expect(t.has(old)).To(BeFalse())
 	})
 
-	ginkgo.It("forgets the ends of its own cell that were kept for long enough, and no others", func(ctx context.Context) {
+	ginkgo.It("removes the ends of its own cell that were kept for long enough, and no others", func(ctx context.Context) {
 		d := newDriver(ctx, newTable(), func() {})
 		now := time.Now()
 		row := func(id, cell string, age time.Duration) rows.Row {
 			e := flow.Ended{State: flow.Succeeded, Cell: cell, AtMS: now.Add(-age).UnixMilli()}
 			return rows.Row{Key: EndedKey(id), Value: flow.Encode(e)}
 		}
-		d.sweepAll([]rows.Row{row("a1", "c", 2*d.Keep), row("a2", "c", d.Keep/2), row("a3", "other", 2*d.Keep), row("a4", "c", d.Keep+sweepSlack/2)}, now)
-		Expect(d.archives.take("a")).To(Equal([]archive{{id: "a1", forget: true}}), "a4 may be younger by another clock")
+		d.sweepPart([]rows.Row{row("a1", "c", 2*d.Keep), row("a2", "c", d.Keep/2), row("a3", "other", 2*d.Keep), row("a4", "c", d.Keep+maxClockSkew/2)}, now)
+		Expect(d.archives.take("a")).To(Equal([]archive{{id: "a1", removeLast: true}}), "a4 may be younger by another instance's clock")
 	})
 })
 
 var _ = ginkgo.Describe("the worker list of a large cell", func() {
-	ginkgo.It("is written in rows that the store takes, and read back whole", func(ctx context.Context) {
+	ginkgo.It("is written in rows within the store's limit, and read back completely", func(ctx context.Context) {
 		t := newTable()
 		d := newDriver(ctx, t, func() {})
 		const workers = 2 * workersPerRow
@@ -232,10 +236,10 @@
 		d.restoreWorkers(entries)
 		d.mu.Unlock()
 		Expect(d.commitOnce(false)).To(BeTrue())
-		// A worker less, and a row less after it.
+		// With fewer workers the list takes one row less.
 		d.mu.Lock()
 		for _, e := range entries[workersPerRow:] {
-			d.forget(d.links[e.ID], cell.LossSilent, time.Now())
+			d.dropLink(d.links[e.ID], cell.LossSilent, time.Now())
 		}
 		d.mu.Unlock()
 		Expect(d.commitOnce(false)).To(BeTrue())
@@ -249,24 +253,24 @@
 	})
 })
 
-var _ = ginkgo.Describe("the leases of a former owner", func() {
-	ginkgo.It("last as long after it may have given its last order as they were given for", func(ctx context.Context) {
+var _ = ginkgo.Describe("worker leases granted by a former owner", func() {
+	ginkgo.It("last for their full length after the former owner's last possible order", func(ctx context.Context) {
 		d := newDriver(ctx, newTable(), func() {})
 		defer d.Close()
 		d.Former = time.Second
 		d.mu.Lock()
 		defer d.mu.Unlock()
 		d.restoreWorkers([]workerListEntry{{ID: "w", Addr: "127.0.0.1:1"}})
-		Expect(d.links["w"].over).To(BeTemporally(">=", d.began.Add(time.Second+claim.Margin+d.Lease)))
+		Expect(d.links["w"].leasesEnd).To(BeTemporally(">=", d.startedAt.Add(time.Second+claim.Margin+d.Lease)))
 	})
 })
 
 var _ = ginkgo.Describe("the worker list", func() {
-	ginkgo.It("leaves out workers on which nothing runs for certain, until they are attached again", func(ctx context.Context) {
+	ginkgo.It("omits workers that certainly have no runs, until they are attached again", func(ctx context.Context) {
 		d := newDriver(ctx, newTable(), func() {})
 		defer d.Close()
-		// The links order nothing by themselves: each try to reach a worker would raise
-		// its fence, and an answer under the one before does not count.
+		// The links must send no orders by themselves: each attempt to reach a worker would raise
+		// its fence, and an answer under the previous fence does not count.
 		d.cancel()
 		d.mu.Lock()
 		defer d.mu.Unlock()
@@ -279,12 +283,12 @@
 		}
 		now := time.Now()
 		for _, id := range []string{"runs", "lapsed", "leaves"} {
-			d.heard(Entry{Ver: 1, Worker: cell.Worker{ID: id, Addr: "127.0.0.1:1", Draining: id == "leaves"}}, now)
+			d.applyEntry(Entry{Ver: 1, Worker: cell.Worker{ID: id, Addr: "127.0.0.1:1", Draining: id == "leaves"}}, now)
 			d.cell.Attached(id, cell.Lists{}, now)
 			d.links[id].attached = true
 		}
-		Expect(names()).To(Equal([]string{"lapsed", "runs"}), "leaves is empty and stays so")
-		d.links["leaves"].sentOrder(now)
+		Expect(names()).To(Equal([]string{"lapsed", "runs"}), "a leaving worker without runs gets none")
+		d.links["leaves"].addOrder(now)
 		Expect(names()).To(ContainElement("leaves"), "an order may still arrive")
 		d.workerListSize, d.workerListChanged = 3, false
 		d.checkWorkerList()
@@ -295,9 +299,9 @@
 		d.checkWorkerList()
 		Expect(d.workerListChanged).To(BeTrue())
 		d.workerListChanged = false
-		lapsed.missing = now
+		lapsed.missingSince = now
 		d.mu.Unlock()
-		d.held(lapsed, HoldOrder{Target: Target{Fence: lapsed.fence}}, HoldAnswer{}, now, true)
+		d.holdAnswered(lapsed, HoldOrder{Target: Target{Fence: lapsed.fence}}, HoldAnswer{}, now, true)
 		d.mu.Lock()
 		Expect(d.workerListChanged).To(BeTrue())
 		Expect(names()).To(ContainElement("lapsed"))
@@ -306,8 +310,8 @@
 	})
 })
 
-var _ = ginkgo.Describe("a job that is handed in again", func() {
-	ginkgo.It("does not run again under a new owner that never read it", func(ctx context.Context) {
+var _ = ginkgo.Describe("a job that is submitted again", func() {
+	ginkgo.It("does not run again under a new owner that never read it before it ended", func(ctx context.Context) {
 		t := newTable()
 		t.putSpec("a1")
 		spec := &flow.Spec{ID: "a1", Cell: "c", Steps: []flow.Step{{Count: 1}}}
@@ -317,15 +321,15 @@
 		Expect(d.load()).To(BeTrue())
 		Expect(d.Adopt(spec, accepted)).To(Succeed())
 		Expect(d.cell.Known("a1")).To(BeFalse())
-		d.found([]rows.Row{{Key: SpecKey("a1"), Value: flow.Encode(spec), Ver: accepted}})
-		Expect(d.cell.Known("a1")).To(BeFalse(), "nor by a stale reading")
+		d.addFound([]rows.Row{{Key: SpecKey("a1"), Value: flow.Encode(spec), Ver: accepted}})
+		Expect(d.cell.Known("a1")).To(BeFalse(), "nor by a stale read")
 		Expect(d.Adopt(spec, t.ver+1)).To(Succeed())
-		Expect(d.cell.Known("a1")).To(BeTrue(), "a job of after that is taken in")
+		Expect(d.cell.Known("a1")).To(BeTrue(), "a job that was accepted later is added")
 	})
 })
 
-var _ = ginkgo.Describe("while the cell's own part of the store is silent", func() {
-	ginkgo.It("shows a job that has succeeded, but no cancel", func(ctx context.Context) {
+var _ = ginkgo.Describe("while the cell's own part of the store is down", func() {
+	ginkgo.It("the end of a job that succeeded is visible, but a cancellation is not", func(ctx context.Context) {
 		t := newTable()
 		t.putSpec("1")
 		t.putSpec("2")
@@ -334,9 +338,9 @@
 		d.cell.Configure([]cell.Queue{{Name: "q", Pool: "p", MaxAttempts: 1}})
 		d.cell.Heard(cell.Worker{ID: "w", Pool: "p", Hall: "h", Room: room}, time.Now())
 		d.cell.Attached("w", cell.Lists{}, time.Now())
-		d.adopt(&flow.Spec{ID: "1", Cell: "c", Queue: "q", Hall: "h", Steps: []flow.Step{{Count: 1}}}, time.Now())
+		d.addJob(&flow.Spec{ID: "1", Cell: "c", Queue: "q", Hall: "h", Steps: []flow.Step{{Count: 1}}}, time.Now())
 		start := d.cell.Place(time.Now(), time.Now(), 1).Starts[0]
-		d.adopt(&flow.Spec{ID: "2", Cell: "c", Queue: "none", Steps: []flow.Step{{Count: 1}}}, time.Now())
+		d.addJob(&flow.Spec{ID: "2", Cell: "c", Queue: "none", Steps: []flow.Step{{Count: 1}}}, time.Now())
 		d.cell.Cancel("2", time.Now())
 		end := cell.Finished{Number: 1, Task: start.Task, Run: start.Run, How: flow.EndDone}
 		d.cell.Listed("w", cell.Lists{Finished: []cell.Finished{end}}, time.Now(), time.Now())
@@ -344,26 +348,26 @@
 		d.archiveEnded()
 		d.mu.Unlock()
 		d.wg.Wait()
-		// No group commit was written: the part of the cell lease takes none.
+		// No group commit was written, as if the part with the cell lease were down.
 		s, _ := d.State("1")
 		Expect(s).To(Equal(flow.Succeeded))
 		s, _ = d.State("2")
-		Expect(s.Final()).To(BeFalse(), "another owner may not know of it")
+		Expect(s.Final()).To(BeFalse(), "another owner might not know of the cancellation")
 		Expect(t.has(SpecKey("1"))).To(BeFalse())
-		Expect(t.has(SpecKey("2"))).To(BeTrue(), "what the cell lease does not cover is not written")
+		Expect(t.has(SpecKey("2"))).To(BeTrue(), "without a write under the cell lease the end is not written")
 		Expect(t.has(EndedKey("2"))).To(BeFalse())
 	})
 })
 
-var _ = ginkgo.Describe("a job that is over", func() {
-	ginkgo.It("leaves one small row, so that the next owner does not read it", func(ctx context.Context) {
+var _ = ginkgo.Describe("a job that has ended", func() {
+	ginkgo.It("leaves one small row, so that the next owner does not read all of it", func(ctx context.Context) {
 		t := newTable()
 		d := newDriver(ctx, t, func() {})
 		const jobs = 120
 		for i := range jobs {
 			id := fmt.Sprintf("%x-%d", i%16, i)
 			t.putSpec(id)
-			d.adopt(&flow.Spec{ID: id, Cell: "c", Steps: []flow.Step{{Count: 1}}, AcceptedMS: time.Now().UnixMilli()}, time.Now())
+			d.addJob(&flow.Spec{ID: id, Cell: "c", Steps: []flow.Step{{Count: 1}}, AcceptedMS: time.Now().UnixMilli()}, time.Now())
 			d.cell.Cancel(id, time.Now())
 		}
 		settle := func() {
@@ -377,7 +381,7 @@
 		}
 		settle()
 		settle()
-		d.tidyUp(time.Now().Add(2 * retireAfter))
+		d.retireJobs(time.Now().Add(2 * retireAfter))
 		settle()
 		for i := range jobs {
 			id := fmt.Sprintf("%x-%d", i%16, i)
@@ -388,7 +392,7 @@
 			Expect(known).To(BeTrue())
 			Expect(s).To(Equal(flow.Canceled))
 		}
-		d.adopt(&flow.Spec{ID: "0-0", Cell: "c", Steps: []flow.Step{{Count: 1}}}, time.Now())
-		Expect(d.cell.Place(time.Now(), time.Now(), 1)).To(Equal(cell.Actions{}), "told of again, it does not run")
+		d.addJob(&flow.Spec{ID: "0-0", Cell: "c", Steps: []flow.Step{{Count: 1}}}, time.Now())
+		Expect(d.cell.Place(time.Now(), time.Now(), 1)).To(Equal(cell.Actions{}), "submitted again, it does not run")
 	})
 })
--- a/driver/early_test.go
+++ b/driver/early_test.go
@@ -14,20 +14,21 @@
 	"dewpass.org/rows"
 )
 
-// feeds is a table whose feed always tells the same.
-type feeds struct {
-	*table
+// fixedFeedStore is a memStore whose feed always returns the same page.
+type fixedFeedStore struct {
+	*memStore
 	page rows.Page
 }
 
-func (f feeds) Feed(context.Context, rows.Since) (rows.Page, error) { return f.page, nil }
+func (f fixedFeedStore) Feed(context.Context, rows.Since) (rows.Page, error) { return f.page, nil }
 
-// An owner told a worker to forget the end of a job that it did not know yet, and was lost.
-var _ = ginkgo.Describe("the end of a run of a job that is not known", func() {
-	run := func(ctx context.Context, t *table, store rows.Store) *lives {
-		// A store that was never written has no changes to tell.
+// Guards against an owner that tells a worker to forget the end of a run of a job that it does not
+// know yet, and then fails: nobody knows of the end then.
+var _ = ginkgo.Describe("the end of a run of an unknown job", func() {
+	run := func(ctx context.Context, t *memStore, store rows.Store) *restartingWorker {
+		// The feed of a store that was never written reports no changes.
 		t.putSpec("0")
-		w := newLives()
+		w := newRestartingWorker()
 		w.ends = []cell.Finished{{Number: 1, Task: flow.TaskID{Job: "x"}, Run: 1, How: flow.EndDone}}
 		d := newDriver(ctx, t, func() {})
 		d.Workers, d.Directory, d.Store = w, w, store
@@ -35,7 +36,7 @@
 		ginkgo.DeferCleanup(d.Close)
 		return w
 	}
-	forgotten := func(w *lives) func() bool {
+	forgotten := func(w *restartingWorker) func() bool {
 		return func() bool {
 			w.mu.Lock()
 			defer w.mu.Unlock()
@@ -45,26 +46,26 @@
 
 	ginkgo.It("is not forgotten while the job may still be found", func(ctx context.Context) {
 		t := newTable()
-		Consistently(forgotten(run(ctx, t, t)), 3*scanEvery).Should(BeFalse(), "changed jobs cannot be read")
+		Consistently(forgotten(run(ctx, t, t)), 3*scanInterval).Should(BeFalse(), "the feed cannot be read")
 	})
 
-	ginkgo.It("is not forgotten while there may be more changed jobs than were read", func(ctx context.Context) {
+	ginkgo.It("is not forgotten while the feed may have more changes than were read", func(ctx context.Context) {
 		t := newTable()
-		page := rows.Page{Rows: make([]rows.Row, feedMost)}
+		page := rows.Page{Rows: make([]rows.Row, maxFeedRows)}
 		for i := range page.Rows {
 			page.Rows[i].Gone = true
 		}
-		Consistently(forgotten(run(ctx, t, feeds{t, page})), 3*scanEvery).Should(BeFalse())
+		Consistently(forgotten(run(ctx, t, fixedFeedStore{t, page})), 3*scanInterval).Should(BeFalse())
 	})
 
-	ginkgo.It("is forgotten once all jobs of its time were read", func(ctx context.Context) {
+	ginkgo.It("is forgotten once all jobs accepted before it have been read", func(ctx context.Context) {
 		t := newTable()
-		Eventually(forgotten(run(ctx, t, feeds{t, rows.Page{}})), 3*scanEvery+time.Second).Should(BeTrue())
+		Eventually(forgotten(run(ctx, t, fixedFeedStore{t, rows.Page{}})), 3*scanInterval+time.Second).Should(BeTrue())
 	})
 
-	ginkgo.It("is forgotten once all jobs were read as the store has no history", func(ctx context.Context) {
+	ginkgo.It("is forgotten once all jobs have been read because the feed has no history", func(ctx context.Context) {
 		t := newTable()
-		store := feeds{t, rows.Page{Forgotten: true}}
-		Eventually(forgotten(run(ctx, t, store)), 5*scanEvery+time.Second).Should(BeTrue())
+		store := fixedFeedStore{t, rows.Page{Forgotten: true}}
+		Eventually(forgotten(run(ctx, t, store)), 5*scanInterval+time.Second).Should(BeTrue())
 	})
 })
--- a/driver/empty.go
+++ b/driver/empty.go
@@ -17,7 +17,7 @@
 	d.mu.Lock()
 	d.cell.Empty(workers, patience, clock.Now())
 	d.mu.Unlock()
-	notify(d.wake)
+	notify(d.placeNow)
 }
 
 // Emptied implements upkeep.Cell.
@@ -43,6 +43,6 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if l := d.links[worker]; l != nil && l.born == born {
-		d.dead(l, cell.LossPlanned)
+		d.dropDeadWorker(l, cell.LossPlanned)
 	}
 }
--- a/driver/events.go
+++ b/driver/events.go
@@ -13,7 +13,7 @@
 	"dewpass.org/sched"
 )
 
-// logWaits logs what steps that have waited for long wait for.
+// logWaits logs the reasons why steps have been waiting for a long time.
 func (d *Driver) logWaits(waits []cell.Wait) {
 	for i := range waits {
 		w := &waits[i]
@@ -30,11 +30,12 @@
 	}
 }
 
-// lateLogged is how long a step has waited for a line on it; the metrics have all.
-const lateLogged = time.Second
+// lateLogThreshold is the waiting time from which a late start is logged. The metrics include all
+// late starts.
+const lateLogThreshold = time.Second
 
-// logLate counts what steps that started late have waited for, and logs the latest of them.
-func (d *Driver) logLate(late []cell.LateStart) {
+// logLateStarts counts the reasons for which steps started late, and logs the latest ones.
+func (d *Driver) logLateStarts(late []cell.LateStart) {
 	for i := range late {
 		l := &late[i]
 		priority := strconv.Itoa(l.Priority)
@@ -44,16 +45,17 @@
 			d.Scope.Tagged(map[string]string{"why": string(why), "priority": priority}).Counter("late_start_ms_total").Inc(waited.Milliseconds())
 			fields = append(fields, string(why)+"_ms", waited.Milliseconds())
 		}
-		if l.Waited >= lateLogged {
+		if l.Waited >= lateLogThreshold {
 			level.Info(d.Log).Log(fields...)
 		}
 	}
 }
 
-// logLeaseOver logs that the leases of a worker are over, with what runs there by its last word if
-// it has said that it leaves: such a run may have ended just before its worker. The lock is held.
+// logLeaseOver logs that the leases of a worker have expired. If the worker announced that it
+// leaves, it also logs the runs that it last listed: such a run may have ended just before the
+// worker did. The lock is held.
 func (d *Driver) logLeaseOver(l *link, now time.Time) {
-	level.Info(d.Log).Log("event", "lease_over", "worker", l.id, "left", l.draining, "heard_ms_ago", now.Sub(l.heard).Milliseconds())
+	level.Info(d.Log).Log("event", "lease_over", "worker", l.id, "left", l.draining, "heard_ms_ago", now.Sub(l.answeredAt).Milliseconds())
 	if !l.draining {
 		return
 	}
@@ -63,8 +65,8 @@
 	}
 }
 
-// logLostRuns logs which runs were lost with their workers, and what tells a task that crashes
-// its worker from its neighbours. The lock is held.
+// logLostRuns logs the runs that were lost with their workers, and the data by which a task that
+// crashes its worker is told from the other tasks there. The lock is held.
 func (d *Driver) logLostRuns() {
 	for _, r := range d.cell.LostRuns() {
 		d.Scope.Tagged(map[string]string{"loss": string(r.Loss)}).Counter("runs_lost_total").Inc(1)
@@ -79,8 +81,8 @@
 	}
 }
 
-// logHeld logs what the answer to a hold lists, what the worker was told to forget with it and what
-// it may be told to forget by now. The lock is held.
+// logHeld logs the lists in the answer to a hold, the last end that the worker was told to forget
+// and the last one persisted by now. The lock is held.
 func (d *Driver) logHeld(l *link, o HoldOrder, a *HoldAnswer, took time.Duration) {
 	last := 0
 	if n := len(a.Lists.Finished); n > 0 {
@@ -91,8 +93,8 @@
 		"wait_ms", o.Wait.Milliseconds(), "took_ms", took.Milliseconds())
 }
 
-// logReborn logs that a worker answers from another life than before: what the owner knew of its
-// ends, and what the new life lists. The lock is held.
+// logReborn logs that a worker answers from another life, with what was known of the previous
+// life's ends and what the new one lists. The lock is held.
 func (d *Driver) logReborn(l *link, o HoldOrder, a *HoldAnswer, attach bool) {
 	d.Scope.Counter("workers_reborn_total").Inc(1)
 	first, last := 0, 0
@@ -103,12 +105,12 @@
 		"observed", o.Observed, "first_end", first, "last_end", last, "lists", len(a.Lists.Running), "had", len(d.cell.Runs(l.id)))
 }
 
-// logChanges logs what happened to the runs of tasks that last. The lock is held.
+// logChanges logs changes to the runs of lasting tasks. The lock is held.
 func (d *Driver) logChanges() {
 	for _, c := range d.cell.Changes() {
 		log := level.Info(d.Log)
 		if c.Event == cell.RunAdopted {
-			// A new owner takes on all of them at once.
+			// A new owner adopts all of them at once.
 			log = level.Debug(d.Log)
 		}
 		log.Log("event", "lasting_run", "job", c.Task.Job, "step", c.Task.Step, "index", c.Task.Index,
--- a/driver/fence_test.go
+++ b/driver/fence_test.go
@@ -12,23 +12,23 @@
 	"dewpass.org/cell"
 )
 
-var _ = ginkgo.Describe("a worker that was given up and is back", func() {
-	ginkgo.It("is held under a fence above all that it has seen of this owner", func(ctx context.Context) {
+var _ = ginkgo.Describe("a worker that was given up and reappears", func() {
+	ginkgo.It("is attached under a fence above all that it has seen from this owner", func(ctx context.Context) {
 		d := newDriver(ctx, newTable(), func() {})
-		// The links order nothing by themselves.
+		// The links must send no orders by themselves.
 		d.cancel()
 		defer d.Close()
 		d.mu.Lock()
 		defer d.mu.Unlock()
 		entry := Entry{Ver: 1, Worker: cell.Worker{ID: "w", Addr: "127.0.0.1:1"}}
-		d.heard(entry, time.Now())
+		d.applyEntry(entry, time.Now())
 		for range 3 {
 			d.nextFence(d.links["w"])
 		}
 		seen := d.links["w"].fence
-		d.forget(d.links["w"], cell.LossSilent, time.Now())
+		d.dropLink(d.links["w"], cell.LossSilent, time.Now())
 		entry.Ver++
-		d.heard(entry, time.Now())
+		d.applyEntry(entry, time.Now())
 		Expect(d.nextFence(d.links["w"])).To(BeNumerically(">", seen))
 	})
 })
--- a/driver/foreign_test.go
+++ b/driver/foreign_test.go
@@ -17,7 +17,7 @@
 	"dewpass.org/sched"
 )
 
-var _ = ginkgo.Describe("an entry that another writer left", func() {
+var _ = ginkgo.Describe("an invalid directory entry", func() {
 	room := sched.Vec{sched.Milli: 1000, sched.MiB: 1000}
 	good := func(ver uint64) Entry {
 		return Entry{Worker: cell.Worker{ID: "w", Addr: "w", Pool: "p", Hall: "h", Room: room}, Ver: ver}
@@ -31,10 +31,10 @@
 		now := time.Now()
 		return d.cell.Place(now, now, 0).Starts
 	}
-	// known is a driver that knows a worker, which runs one of two tasks.
-	known := func(ctx context.Context) *Driver {
+	// driverWithWorker returns a driver with a worker that has room for one of two tasks.
+	driverWithWorker := func(ctx context.Context) *Driver {
 		d := newDriver(ctx, newTable(), func() {})
-		d.readAll([]Entry{good(1)})
+		d.applyDirectory([]Entry{good(1)})
 		d.mu.Lock()
 		defer d.mu.Unlock()
 		now := time.Now()
@@ -46,47 +46,47 @@
 		return d
 	}
 
-	ginkgo.It("names no worker", func(ctx context.Context) {
+	ginkgo.It("adds no worker", func(ctx context.Context) {
 		d := newDriver(ctx, newTable(), func() {})
 		defer d.Close()
-		d.readAll([]Entry{bad("x", 1), good(1)})
+		d.applyDirectory([]Entry{bad("x", 1), good(1)})
 		Expect(d.links).To(HaveLen(1))
 	})
 
-	ginkgo.It("in place of that of a known worker keeps what runs there and adds nothing", func(ctx context.Context) {
-		d := known(ctx)
+	ginkgo.It("of a known worker keeps the runs there and stops new ones", func(ctx context.Context) {
+		d := driverWithWorker(ctx)
 		defer d.Close()
 		Expect(place(d)).To(HaveLen(1))
-		d.readAll([]Entry{bad("w", 2)})
-		Expect(d.links).To(HaveKey("w"), "what runs there goes on")
+		d.applyDirectory([]Entry{bad("w", 2)})
+		Expect(d.links).To(HaveKey("w"), "its runs go on")
 		d.mu.Lock()
 		Expect(d.cell.Busy("w")).To(BeTrue())
 		d.cell.Listed("w", cell.Lists{Finished: []cell.Finished{{Number: 1, Task: flow.TaskID{Job: "0"}, Run: 1 + int(d.Claim.Epoch())*runsPerEpoch, How: flow.EndDone}}}, time.Now(), time.Now())
 		d.mu.Unlock()
-		Expect(place(d)).To(BeEmpty(), "there is room, but the entry names no worker to use")
-		d.readAll([]Entry{good(3)})
-		Expect(place(d)).To(HaveLen(1), "it is used again once its own entry is back")
+		Expect(place(d)).To(BeEmpty(), "there is room, but the entry is invalid")
+		d.applyDirectory([]Entry{good(3)})
+		Expect(place(d)).To(HaveLen(1), "it is used again once its entry is valid")
 	})
 
-	ginkgo.It("that is older than the worker's own changes nothing", func(ctx context.Context) {
-		d := known(ctx)
+	ginkgo.It("that is older than the worker's valid one changes nothing", func(ctx context.Context) {
+		d := driverWithWorker(ctx)
 		defer d.Close()
-		d.readAll([]Entry{good(5)})
-		d.readAll([]Entry{bad("w", 2)})
+		d.applyDirectory([]Entry{good(5)})
+		d.applyDirectory([]Entry{bad("w", 2)})
 		Expect(place(d)).To(HaveLen(1))
 	})
 
-	ginkgo.It("is logged once in each of its kinds, and forgotten in the end", func(ctx context.Context) {
+	ginkgo.It("is remembered as logged only up to a limit", func(ctx context.Context) {
 		d := newDriver(ctx, newTable(), func() {})
 		defer d.Close()
-		for i := range 3 * badLogMost {
-			d.readAll([]Entry{bad(string(rune('a'+i%26))+time.Duration(i).String(), 1)})
+		for i := range 3 * maxLoggedInvalid {
+			d.applyDirectory([]Entry{bad(string(rune('a'+i%26))+time.Duration(i).String(), 1)})
 		}
-		Expect(len(d.bad)).To(BeNumerically("<=", badLogMost))
+		Expect(len(d.loggedInvalid)).To(BeNumerically("<=", maxLoggedInvalid))
 	})
 })
 
-// What is done of a job is known from its record alone.
+// Only a job's record says which of its tasks are done.
 var _ = ginkgo.Describe("a job whose record cannot be read", func() {
 	spec := func(id string) rows.Row {
 		raw, err := json.Marshal(flow.Spec{ID: id, Cell: "c", Queue: "q", Steps: []flow.Step{{Count: 1}}})
@@ -108,7 +108,7 @@
 		}
 	})
 
-	ginkgo.It("does not keep a job away whose own row is another writer's", func(ctx context.Context) {
+	ginkgo.It("with an invalid specification does not keep other jobs from loading", func(ctx context.Context) {
 		d := newDriver(ctx, newTable(), func() {})
 		defer d.Close()
 		odd := rows.Row{Key: SpecKey("9"), Value: []byte(`{"id":"9","cell":"c","steps":[{"count":-1}]}`), Ver: 1}
@@ -118,14 +118,14 @@
 	})
 })
 
-// Most jobs are told to the owner by the instance that took them: reading all of them again
-// took 10 KB/s of a link that carries 250.
-var _ = ginkgo.Describe("jobs that nobody told an owner of", func() {
+// Most jobs are reported to the owner by the instance that accepted them. Reading all of them again
+// took 10 KB/s of a 250 KB/s link.
+var _ = ginkgo.Describe("jobs that were not reported to their owner", func() {
 	home := func(id, cell string, ver uint64) rows.Row {
 		return rows.Row{Key: HomeKey(id), Value: []byte(cell), Ver: ver}
 	}
 
-	ginkgo.It("are found by their homes, and only they are read", func(ctx context.Context) {
+	ginkgo.It("are found by their home rows, and only they are read", func(ctx context.Context) {
 		t := newTable()
 		t.putSpec("a1")
 		t.putSpec("b1")
@@ -137,23 +137,23 @@
 		gone := home("d1", "c", 60)
 		gone.Gone = true
 		before := t.reads["b"]
-		Expect(d.findMissed([]rows.Row{home("a1", "c", 50), home("b1", "c", 51), home("c1", "other", 52), gone, home("e1", "c", 53)})).To(Succeed())
+		Expect(d.readMissed([]rows.Row{home("a1", "c", 50), home("b1", "c", 51), home("c1", "other", 52), gone, home("e1", "c", 53)})).To(Succeed())
 		Expect(d.cell.Known("b1")).To(BeTrue())
 		Expect(d.cell.Known("c1")).To(BeFalse())
 		Expect(t.reads["b"]).To(Equal(before + 1))
-		Expect(t.reads["a"]).To(BeZero(), "it was told")
-		Expect(d.cell.Known("e1")).To(BeFalse(), "its row is gone: it is over")
+		Expect(t.reads["a"]).To(BeZero(), "it was reported")
+		Expect(d.cell.Known("e1")).To(BeFalse(), "its row is gone: it has ended")
 	})
 
-	ginkgo.It("are looked for again if they cannot be read now", func(ctx context.Context) {
+	ginkgo.It("are read again after a failed read", func(ctx context.Context) {
 		t := newTable()
 		t.putSpec("b1")
-		t.fails["b"] = 1
+		t.failReads["b"] = 1
 		d := newDriver(ctx, t, func() {})
 		defer d.Close()
 		d.loaded = true
-		Expect(kind.Is(d.findMissed([]rows.Row{home("b1", "c", 51)}), kind.Lost)).To(BeTrue())
-		Expect(d.findMissed([]rows.Row{home("b1", "c", 51)})).To(Succeed())
+		Expect(kind.Is(d.readMissed([]rows.Row{home("b1", "c", 51)}), kind.Lost)).To(BeTrue())
+		Expect(d.readMissed([]rows.Row{home("b1", "c", 51)})).To(Succeed())
 		Expect(d.cell.Known("b1")).To(BeTrue())
 	})
 })
--- a/driver/hold.go
+++ b/driver/hold.go
@@ -15,23 +15,23 @@
 	"dewpass.org/kind"
 )
 
-// unsavedPause is how long a link waits for the store to take the ends that were listed, before
-// it renews the lease without observing them.
-const unsavedPause = 250 * time.Millisecond
+// maxPersistWait is how long a link waits for the store to persist the listed ends before it renews
+// the leases without acknowledging them.
+const maxPersistWait = 250 * time.Millisecond
 
-// A worker that leaves within leavingSoon is asked again after leavingPause, as what it lists later
-// may never be heard of.
+// A worker that leaves within leavingSoon is polled again after leavingPersistWait, since ends that
+// it lists later may never be received.
 const (
-	leavingSoon  = time.Second
-	leavingPause = 50 * time.Millisecond
+	leavingSoon        = time.Second
+	leavingPersistWait = 50 * time.Millisecond
 )
 
-// hold attaches the worker, or renews its lease.
+// hold attaches the worker, or renews the leases of its runs.
 func (d *Driver) hold(ctx context.Context, l *link) error {
 	d.mu.Lock()
 	attach := !l.attached
 	if attach {
-		attaching := l.attaching
+		attaching := l.attachSlots
 		d.mu.Unlock()
 		select {
 		case attaching <- struct{}{}:
@@ -46,47 +46,47 @@
 	unsaved := d.cell.Unsaved(l.id)
 	o := HoldOrder{Target: Target{Worker: l.id, Addr: l.addr, Fence: l.fence}}
 	if !attach {
-		// Whoever is attached may be another life, which numbers its own ends from 1.
+		// The worker may be in another life, which numbers its ends from 1 again.
 		o.Observed = d.cell.Observed(l.id)
 	}
-	// A worker that may not answer gets no longer lease: its end would never be
-	// certain.
+	// A worker that might not answer gets no longer lease: otherwise the end of the lease would
+	// never be certain.
 	if !attach && d.mayOrder(now) {
-		o.UntilMS = d.until(l, now)
+		o.UntilMS = d.newLeaseEnd(l, now)
 	}
 	if !attach && !unsaved {
-		o.Wait = d.lookWithin(l, now)
-		o.Brief = now.Sub(l.listed) < o.Wait
+		o.Wait = d.holdWait(l, now)
+		o.Brief = now.Sub(l.listedAt) < o.Wait
 	}
-	limit := d.orderTime(l, now)
-	// Where a carried hold brings no word of the worker it is sent from here as well.
-	send := sentHold{HoldOrder: o, sent: now, limit: limit, carried: !attach && d.carries(now), attach: attach, hall: l.hall, born: l.born}
-	wanted, anew := context.WithCancel(ctx)
-	defer anew()
-	l.anew = anew
+	limit := d.orderTimeout(l, now)
+	// If a carrier gets no answer from the worker, the hold is sent directly as well.
+	send := pendingHold{HoldOrder: o, sent: now, limit: limit, carried: !attach && d.carrying(now), attach: attach, hall: l.hall, born: l.born}
+	waitCtx, abandon := context.WithCancel(ctx)
+	defer abandon()
+	l.rehold = abandon
 	d.mu.Unlock()
-	if err := d.awaitHold(ctx, wanted, l, send); err != nil || attach {
-		return d.ofAddress(l, o.Addr, err)
+	if err := d.awaitHold(ctx, waitCtx, l, send); err != nil || attach {
+		return d.ignoreOldAddress(l, o.Addr, err)
 	}
-	d.waitKept(ctx, l)
+	d.waitPersisted(ctx, l)
 	return nil
 }
 
-// sentHold is a hold on its way to a worker.
-type sentHold struct {
+// pendingHold is a hold order in flight.
+type pendingHold struct {
 	HoldOrder
 	sent            time.Time
 	limit           time.Duration
 	carried, attach bool
-	// hall is the worker's, as its link may learn of another one meanwhile.
+	// hall is the worker's hall when the hold was sent; that of the link may change meanwhile.
 	hall string
-	// born is that of the life that is known, 0 if it is not, or does not say.
+	// born identifies the worker's known life; 0 if it is unknown or the worker does not report it.
 	born int64
 }
 
-// ofAddress returns what an error says of a worker that was called at an address: if it is known
-// at another one by now, nothing of who is at that one.
-func (d *Driver) ofAddress(l *link, addr string, err error) error {
+// ignoreOldAddress turns a NotFound error into Unavailable if the worker's address has changed
+// since the call: the error then says nothing about the worker at the new one.
+func (d *Driver) ignoreOldAddress(l *link, addr string, err error) error {
 	if !kind.Is(err, kind.NotFound) {
 		return err
 	}
@@ -95,163 +95,163 @@
 	if l.addr == addr {
 		return err
 	}
-	return kind.New(kind.Unavailable, "the worker is not at "+addr+" any more")
+	return kind.New(kind.Unavailable, "the worker has moved from "+addr+" to another address")
 }
 
-// awaitHold sends a hold and takes in its answer, for which it waits until wanted ends. An
-// answer that comes later is taken in as well: a worker that leaves may not list what it
-// says again.
-func (d *Driver) awaitHold(ctx, wanted context.Context, l *link, h sentHold) error {
+// awaitHold sends a hold and waits for the answer until waitCtx ends. A later answer is still
+// applied: a worker that leaves may not list the same ends again.
+func (d *Driver) awaitHold(ctx, waitCtx context.Context, l *link, h pendingHold) error {
 	holding, cancel := context.WithCancel(ctx)
 	done := make(chan error, 1)
 	d.spawn(func() {
 		defer cancel()
 		a, err := d.sendHold(holding, h)
 		if err == nil {
-			err = d.held(l, h.HoldOrder, a, h.sent, h.attach)
+			err = d.holdAnswered(l, h.HoldOrder, a, h.sent, h.attach)
 		}
 		done <- err
 	})
 	select {
 	case err := <-done:
 		return err
-	case <-wanted.Done():
+	case <-waitCtx.Done():
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	l.leftover = cancel
-	return kind.New(kind.Lost, "the worker is held anew")
+	l.cancelAbandoned = cancel
+	return kind.New(kind.Lost, "hold abandoned to attach the worker again")
 }
 
-// lookWithin returns for how long a worker may wait before it answers a look: longer while
-// this side is late, as looks are the first that its link can do without. The lock is held.
-func (d *Driver) lookWithin(l *link, now time.Time) time.Duration {
+// holdWait returns for how long a worker may delay its answer to a long poll. The time grows while
+// answers are late on this side, since the link can do without long polls first. The lock is held.
+func (d *Driver) holdWait(l *link, now time.Time) time.Duration {
 	wait := d.cell.LookWithin(l.id)
 	late := d.lateness.By(now)
-	return min(wait+wait*time.Duration(late/lateStep), max(wait, lookLateMost))
+	return min(wait+wait*time.Duration(late/latenessStep), max(wait, maxHoldWait))
 }
 
 const (
-	// For each lateStep that answers are late, looks come that much seldomer, down to one
-	// in lookLateMost, a third of the shortest lease. At 0.15 s, a third of them is left.
-	lateStep     = 50 * time.Millisecond
-	lookLateMost = 2 * time.Second
+	// For each latenessStep of lateness the polling interval grows by its normal length, up to
+	// maxHoldWait, a third of the shortest lease. 0.15 s of lateness leaves about a third of the
+	// polls.
+	latenessStep = 50 * time.Millisecond
+	maxHoldWait  = 2 * time.Second
 )
 
-// sendHold sends a hold, by another instance if carried is set. A hold that is renewed may be
-// sent twice: it orders nothing.
-func (d *Driver) sendHold(ctx context.Context, h sentHold) (HoldAnswer, error) {
+// sendHold sends a hold, through a carrier if carried is set. If the carrier gets no answer it is
+// sent again directly: a hold may be delivered twice.
+func (d *Driver) sendHold(ctx context.Context, h pendingHold) (HoldAnswer, error) {
 	o := h.HoldOrder
 	if h.carried {
-		within, cancel := answerWithin(ctx, o.Wait+h.limit+carryTakes)
+		within, cancel := withAnswerTimeout(ctx, o.Wait+h.limit+carryOverhead)
 		a, done, err := d.Carriers.Hold(within, h.hall, o, h.limit)
 		cancel()
-		// A carrier of an earlier build leaves out which life has answered.
+		// Carriers of earlier versions omit which life has answered.
 		done = done && (err != nil || a.Lists.Born != 0 || h.born == 0)
 		if done || ctx.Err() != nil {
 			return a, err
 		}
 		o.Wait = 0
 	}
-	within, cancel := answerWithin(ctx, o.Wait+h.limit)
+	within, cancel := withAnswerTimeout(ctx, o.Wait+h.limit)
 	defer cancel()
 	return d.Workers.Hold(within, o)
 }
 
-// held takes in the answer to a hold. Its error is of kind Damaged if it does not say which life
-// has answered, of a worker that said so before.
-func (d *Driver) held(l *link, o HoldOrder, a HoldAnswer, sent time.Time, attach bool) error {
+// holdAnswered applies the answer to a hold. It returns an error of kind Damaged if the answer does
+// not say which life has given it although the worker did so before.
+func (d *Driver) holdAnswered(l *link, o HoldOrder, a HoldAnswer, sent time.Time, attach bool) error {
 	now := clock.Now()
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if a.Lists.Born == 0 && l.born != 0 {
-		return kind.New(kind.Damaged, "the worker does not say when it started")
+		return kind.New(kind.Damaged, "the worker does not state its start time any more")
 	}
 	if o.Wait == 0 {
-		l.answers.Answered(now.Sub(sent))
+		l.answerTimes.Answered(now.Sub(sent))
 	} else if late := now.Sub(sent) - o.Wait; late > 0 {
 		d.lateness.Saw(l.id, late, now)
 	}
-	switch another := l.isAnother(a.Lists.Born); {
+	switch another := l.isOtherLife(a.Lists.Born); {
 	case l.fence != o.Fence || (!attach && !l.attached):
-		// Where an order was lost meanwhile, what runs is of before. Its ends are facts: a
-		// worker that leaves may not list them again.
+		// An order was lost meanwhile, so the running runs in the answer are out of date. Ended
+		// runs remain valid, and a worker that leaves may not list them again.
 		d.cell.EndsListed(l.id, a.Lists, now)
 	case another && !attach:
-		// Orders for the life before may still reach this one: it is held under a fence that
-		// none of them bears before anything follows from what it lists.
+		// Orders for the previous life may still reach the new one. It is attached under a fence
+		// above theirs before anything else in its lists is used.
 		d.logReborn(l, o, &a, attach)
-		d.unsure(l.id)
+		d.reattach(l.id)
 	case attach:
 		if another {
-			d.reborn(l, o, &a, now)
+			d.replaceLife(l, o, &a, now)
 		}
-		d.attached(l, &a, now)
+		d.workerAttached(l, &a, now)
 	case a.Brief:
 		d.cell.EndsListed(l.id, a.Lists, now)
-		l.heardClock(a.ClockMS, now)
+		l.updateClock(a.ClockMS, now)
 	default:
 		d.cell.Listed(l.id, a.Lists, sent, now)
-		l.listed = now
-		l.heardClock(a.ClockMS, now)
+		l.listedAt = now
+		l.updateClock(a.ClockMS, now)
 	}
-	l.heard = now
+	l.answeredAt = now
 	d.logHeld(l, o, &a, now.Sub(sent))
 	for i := range a.Lists.Finished {
 		f := &a.Lists.Finished[i]
 		level.Debug(d.Log).Log("event", "end", "job", f.Task.Job, "step", f.Task.Step, "index", f.Task.Index, "run", f.Run, "how", f.How, "worker", l.id, "born", a.Lists.Born, "number", f.Number)
 	}
 	if d.cell.Unsaved(l.id) {
-		notify(d.write)
+		notify(d.commitNow)
 	}
-	notify(d.wake)
+	notify(d.placeNow)
 	return nil
 }
 
-// attached takes in the lists of a worker under a newer fence. The lock is held.
-func (d *Driver) attached(l *link, a *HoldAnswer, now time.Time) {
+// workerAttached applies the lists of a worker that answered under a new fence. The lock is held.
+func (d *Driver) workerAttached(l *link, a *HoldAnswer, now time.Time) {
 	if l.lapsed {
-		d.listAgain(l)
+		d.relist(l)
 	}
-	if l.supposedBorn() != a.Lists.Born {
-		// The next owner has to know which life may run what this one starts.
+	if l.likelyBorn() != a.Lists.Born {
+		// The next owner must know which life may execute the runs that this owner starts.
 		d.workerListChanged = true
-		notify(d.write)
+		notify(d.commitNow)
 	}
 	l.born = a.Lists.Born
-	l.heardClock(a.ClockMS, now)
+	l.updateClock(a.ClockMS, now)
 	d.cell.Attached(l.id, a.Lists, now)
 	l.attached, l.lapsed = true, false
-	if l.leftover != nil {
-		l.leftover()
-		l.leftover = nil
+	if l.cancelAbandoned != nil {
+		l.cancelAbandoned()
+		l.cancelAbandoned = nil
 	}
 	level.Debug(d.Log).Log("event", "worker_attached", "worker", l.id, "born", l.born, "fence", l.fence, "running", len(a.Lists.Running), "finished", len(a.Lists.Finished))
 }
 
-// listAgain puts a worker whose leases were over on the worker list again. While its
-// entry is missing as well nothing is placed there: a next owner might not know of it.
+// relist puts a worker whose leases had expired back on the worker list. Nothing is placed there
+// while its directory entry is missing as well, because a next owner might not know of the worker.
 // The lock is held.
-func (d *Driver) listAgain(l *link) {
+func (d *Driver) relist(l *link) {
 	d.workerListChanged = true
-	if !l.missing.IsZero() {
+	if !l.missingSince.IsZero() {
 		d.cell.Missing(l.id)
 	}
 }
 
-// waitKept waits until the ends that were listed are kept, for a while.
-func (d *Driver) waitKept(ctx context.Context, l *link) {
+// waitPersisted waits, for a limited time, until the listed ends are persisted.
+func (d *Driver) waitPersisted(ctx context.Context, l *link) {
 	d.mu.Lock()
-	pause := unsavedPause
-	if l.draining && l.leaves.Sub(clock.Now()) < leavingSoon {
-		pause = leavingPause
+	pause := maxPersistWait
+	if l.draining && l.leavesAt.Sub(clock.Now()) < leavingSoon {
+		pause = leavingPersistWait
 	}
 	d.mu.Unlock()
 	timer := time.NewTimer(pause)
 	defer timer.Stop()
 	for {
 		d.mu.Lock()
-		unsaved, kept := d.cell.Unsaved(l.id) && l.attached, d.kept
+		unsaved, kept := d.cell.Unsaved(l.id) && l.attached, d.persisted
 		d.mu.Unlock()
 		if !unsaved {
 			return
@@ -260,7 +260,7 @@
 		case <-kept:
 		case <-timer.C:
 			return
-		case <-l.kick:
+		case <-l.retryNow:
 			return
 		case <-ctx.Done():
 			return
@@ -268,8 +268,7 @@
 	}
 }
 
-// holdFailed takes in that a hold had no answer, and reports whether the link
-// is over.
+// holdFailed handles a hold without an answer, and reports whether the link has ended.
 func (d *Driver) holdFailed(l *link, err error) bool {
 	if kind.Is(err, kind.NotFound) {
 		d.workerDead(l.id, cell.LossReborn)
@@ -279,31 +278,32 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if kind.Is(err, kind.Fenced) {
-		go d.lost("worker " + l.id + " has seen a higher fence")
+		go d.leaseLost("worker " + l.id + " has seen a higher fence")
 		l.attached = false
 		return false
 	}
 	if l.attached && kind.Is(err, kind.Lost) {
-		// A hold that was given up as the worker is held anew says nothing of it.
-		l.answers.Lost()
+		// A hold that was abandoned in order to attach the worker again says nothing about the
+		// worker.
+		l.answerTimes.Lost()
 	}
 	if l.attached {
 		level.Info(d.Log).Log("event", "worker_unreachable", "worker", l.id, "err", err)
 	}
 	d.cell.Unsure(l.id, now)
-	if hungUp(err) {
+	if closedByPeer(err) {
 		d.cell.HungUp(l.id, l.attached && !errors.Is(err, syscall.ECONNREFUSED))
 	}
 	l.attached = false
-	if now.After(l.over) && !l.lapsed {
+	if now.After(l.leasesEnd) && !l.lapsed {
 		l.lapsed = true
 		d.Scope.Counter("leases_over_total").Inc(1)
 		d.logLeaseOver(l, now)
-		d.cell.Lapsed(l.id, lossBy(err), now)
-		notify(d.wake)
+		d.cell.Lapsed(l.id, lossCause(err), now)
+		notify(d.placeNow)
 	}
-	if l.lapsed && !l.missing.IsZero() && now.Sub(l.missing) > goneAfter {
-		d.forget(l, cell.LossSilent, now)
+	if l.lapsed && !l.missingSince.IsZero() && now.Sub(l.missingSince) > missingGrace {
+		d.dropLink(l, cell.LossSilent, now)
 		return true
 	}
 	return false
--- a/driver/leaving_kept_test.go
+++ b/driver/leaving_kept_test.go
@@ -15,27 +15,27 @@
 	"dewpass.org/rows"
 )
 
-// stuck is a table that takes no write while it is told so.
-type stuck struct {
-	*table
-	now atomic.Bool
+// stallingStore is a memStore whose writes block while stalled is set.
+type stallingStore struct {
+	*memStore
+	stalled atomic.Bool
 }
 
-func (s *stuck) Tx(ctx context.Context, tx rows.Tx) (rows.Result, error) {
-	for s.now.Load() && ctx.Err() == nil {
+func (s *stallingStore) Tx(ctx context.Context, tx rows.Tx) (rows.Result, error) {
+	for s.stalled.Load() && ctx.Err() == nil {
 		time.Sleep(10 * time.Millisecond)
 	}
-	return s.table.Tx(ctx, tx)
+	return s.memStore.Tx(ctx, tx)
 }
 
-// leavingLives is a worker that says that it leaves soon.
-type leavingLives struct {
-	*lives
+// leavingWorker is a worker that can announce that it leaves soon.
+type leavingWorker struct {
+	*restartingWorker
 	leaving atomic.Bool
 }
 
-func (w *leavingLives) All(ctx context.Context) ([]Entry, error) {
-	all, err := w.lives.All(ctx)
+func (w *leavingWorker) All(ctx context.Context) ([]Entry, error) {
+	all, err := w.restartingWorker.All(ctx)
 	if w.leaving.Load() {
 		all[0].Ver++
 		all[0].Draining, all[0].Remaining = true, leavingSoon
@@ -43,12 +43,12 @@
 	return all, err
 }
 
-// An end that its worker lists in the pause in which the ends before are being written would not
-// be heard of where the worker is gone after it.
-var _ = ginkgo.Describe("a worker that leaves soon and has listed ends that are not kept yet", func() {
-	ginkgo.It("is asked for more without a long pause", func(ctx context.Context) {
-		t, w := &stuck{table: newTable()}, &leavingLives{lives: newLives()}
-		d := newDriver(ctx, t.table, func() {})
+// Guards against losing an end that a worker lists just before it leaves, while the link is waiting
+// for earlier ends to be persisted.
+var _ = ginkgo.Describe("a worker that leaves soon and has listed ends that are not persisted yet", func() {
+	ginkgo.It("is polled again without a long delay", func(ctx context.Context) {
+		t, w := &stallingStore{memStore: newTable()}, &leavingWorker{restartingWorker: newRestartingWorker()}
+		d := newDriver(ctx, t.memStore, func() {})
 		d.Claim.Store, d.Store = t, t
 		d.Lease = 5 * time.Second
 		d.Workers, d.Directory = w, w
@@ -58,13 +58,13 @@
 		Eventually(func() int { return d.Load().Attached }, "3s").Should(Equal(1))
 		w.leaving.Store(true)
 		Eventually(func() bool { d.mu.Lock(); defer d.mu.Unlock(); return d.links["w"].draining }, "3s", 5*time.Millisecond).Should(BeTrue())
-		t.now.Store(true)
-		ginkgo.DeferCleanup(func() { t.now.Store(false) })
+		t.stalled.Store(true)
+		ginkgo.DeferCleanup(func() { t.stalled.Store(false) })
 		_, _ = w.Start(ctx, StartOrder{Task: flow.TaskID{Job: "other"}, Run: 1})
 		holds := func() int { w.mu.Lock(); defer w.mu.Unlock(); return len(w.holds) }
-		time.Sleep(leavingPause)
+		time.Sleep(leavingPersistWait)
 		before := holds()
-		time.Sleep(unsavedPause)
+		time.Sleep(maxPersistWait)
 		Expect(holds() - before).To(BeNumerically(">=", 2))
 	})
 })
--- a/driver/leaving_late_test.go
+++ b/driver/leaving_late_test.go
@@ -15,21 +15,22 @@
 	"dewpass.org/sched"
 )
 
-// A task was run twice: its worker left before its owner had reckoned with, 13 ms after the run was done.
+// Guards against running a task twice: its worker left earlier than the owner had computed, 13 ms
+// after the run was done.
 
-// staysFor is for how long a worker that leaves stays after it has said so, and lateEnd how
-// long before it leaves its run ends, too late for anybody to be told.
+// timeToLeave is how long the worker stays after it has announced that it leaves, and
+// endBeforeLeaving how long before it leaves its run would end, too late to be reported.
 const (
-	staysFor = 2 * time.Second
-	lateEnd  = 13 * time.Millisecond
+	timeToLeave      = 2 * time.Second
+	endBeforeLeaving = 13 * time.Millisecond
 )
 
-// departing is a worker that says that it leaves right after the first reading of the list, and
-// a directory of it and of another worker.
-type departing struct {
+// departingWorker announces that it leaves right after the first read of the directory. It is also
+// the directory, with entries of itself and another worker.
+type departingWorker struct {
 	mu    sync.Mutex
 	reads int
-	// leaves is when it leaves.
+	// leaves is when the worker leaves.
 	leaves  time.Time
 	starts  []StartOrder
 	begun   time.Time
@@ -37,24 +38,24 @@
 	changed chan struct{}
 }
 
-func (w *departing) All(context.Context) ([]Entry, error) {
+func (w *departingWorker) All(context.Context) ([]Entry, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.reads++
 	room := sched.Vec{sched.Milli: 1000, sched.MiB: 1000}
 	one := cell.Worker{ID: "w", Addr: "w", Pool: "p", Hall: "h", Room: room}
 	if w.reads == 1 {
-		w.leaves = time.Now().Add(staysFor)
+		w.leaves = time.Now().Add(timeToLeave)
 		return []Entry{{Ver: 1, Worker: one}}, nil
 	}
-	one.Draining, one.Remaining = true, staysFor
+	one.Draining, one.Remaining = true, timeToLeave
 	other := cell.Worker{ID: "x", Addr: "x", Pool: "p", Hall: "h", Room: room}
 	return []Entry{{Ver: 2, Worker: one}, {Ver: 3, Worker: other}}, nil
 }
 
-func (w *departing) gone() bool { return time.Now().After(w.leaves) }
+func (w *departingWorker) gone() bool { return time.Now().After(w.leaves) }
 
-func (w *departing) Start(_ context.Context, o StartOrder) (StartAnswer, error) {
+func (w *departingWorker) Start(_ context.Context, o StartOrder) (StartAnswer, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.starts = append(w.starts, o)
@@ -62,7 +63,7 @@
 	return StartAnswer{ClockMS: 1, Outcome: cell.Accepted}, nil
 }
 
-func (w *departing) Stop(_ context.Context, o StopOrder) error {
+func (w *departingWorker) Stop(_ context.Context, o StopOrder) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if o.Worker == "w" && w.stopped.IsZero() && !w.gone() {
@@ -72,9 +73,9 @@
 	return nil
 }
 
-func (w *departing) Pace(context.Context, PaceOrder) error { return nil }
+func (w *departingWorker) Pace(context.Context, PaceOrder) error { return nil }
 
-func (w *departing) Hold(ctx context.Context, o HoldOrder) (HoldAnswer, error) {
+func (w *departingWorker) Hold(ctx context.Context, o HoldOrder) (HoldAnswer, error) {
 	if o.Wait > 0 {
 		select {
 		case <-time.After(min(o.Wait, 100*time.Millisecond)):
@@ -86,13 +87,14 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if o.Worker == "w" && w.gone() {
-		return HoldAnswer{}, errAway
+		return HoldAnswer{}, errUnreachable
 	}
 	return HoldAnswer{ClockMS: 1, Lists: w.lists(o.Worker)}, nil
 }
 
-// lists lists what is on a worker. The run would be done lateEnd before it leaves.
-func (w *departing) lists(worker string) cell.Lists {
+// lists returns the runs on a worker. The run would be done endBeforeLeaving before the worker
+// leaves.
+func (w *departingWorker) lists(worker string) cell.Lists {
 	if len(w.starts) == 0 || w.starts[0].Worker != worker {
 		return cell.Lists{}
 	}
@@ -100,13 +102,13 @@
 	if !w.stopped.IsZero() {
 		return cell.Lists{Finished: []cell.Finished{{Number: 1, Task: s.Task, Run: s.Run, How: flow.EndStopped}}}
 	}
-	whole := w.leaves.Add(-lateEnd).Sub(w.begun)
+	whole := w.leaves.Add(-endBeforeLeaving).Sub(w.begun)
 	return cell.Lists{Running: []cell.Running{{Task: s.Task, Run: s.Run, Percent: int(100 * time.Since(w.begun) / whole)}}}
 }
 
 var _ = ginkgo.Describe("a run that would be done just before its worker leaves", func() {
-	ginkgo.It("is stopped in time for that to be known, though the worker's word is read late", func(ctx context.Context) {
-		t, w := newTable(), &departing{changed: make(chan struct{})}
+	ginkgo.It("is stopped early enough to be reported, though the worker's announcement is read late", func(ctx context.Context) {
+		t, w := newTable(), &departingWorker{changed: make(chan struct{})}
 		t.putSpec("0")
 		d := newDriver(ctx, t, func() {})
 		d.Lease = 6 * time.Second
@@ -119,7 +121,7 @@
 			defer w.mu.Unlock()
 			return w.stopped
 		}
-		Eventually(stopped, staysFor+time.Second, 5*time.Millisecond).ShouldNot(BeZero())
-		Expect(w.leaves.Sub(stopped())).To(BeNumerically(">", lateEnd))
+		Eventually(stopped, timeToLeave+time.Second, 5*time.Millisecond).ShouldNot(BeZero())
+		Expect(w.leaves.Sub(stopped())).To(BeNumerically(">", endBeforeLeaving))
 	})
 })
--- a/driver/leaving_test.go
+++ b/driver/leaving_test.go
@@ -18,15 +18,15 @@
 	"dewpass.org/sched"
 )
 
-// A task was run twice: its run ended as done on a worker that left 4 ms later, and it was
-// started again when the lease of that worker was over. An order to that worker had gone
-// without an answer a moment before, so that it was to be held anew under the next fence. The
-// hold that waited there was given up for that, and with it its answer, which listed the end:
-// the worker lists an end at once to whoever waits. It was gone before the next hold came.
-
-// leaver is a worker that loses the answer of a stop, ends its run as done a moment later, lists
-// that to the hold that waits, and is gone.
-type leaver struct {
+// Guards against running a task twice. Its run ended as done on a worker that left 4 ms later, and
+// it was started again when the worker's lease had expired. An order to the worker had had no
+// answer a moment before, so the worker was to be attached again under the next fence. The long
+// poll that was waiting there was abandoned for that, and with it its answer, which listed the end.
+// The worker was gone before the next hold arrived.
+
+// dyingWorker loses the answer to a stop, ends its run as done a moment later, lists that in the
+// answer to the waiting hold, and is gone.
+type dyingWorker struct {
 	// loses says that the answer that lists the end is lost as well.
 	loses bool
 
@@ -36,27 +36,27 @@
 	gone   bool
 }
 
-func (w *leaver) Start(_ context.Context, o StartOrder) (StartAnswer, error) {
+func (w *dyingWorker) Start(_ context.Context, o StartOrder) (StartAnswer, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.starts = append(w.starts, o)
 	return StartAnswer{ClockMS: 1, Outcome: cell.Accepted}, nil
 }
 
-// Stop carries out nothing, as the run is about to end by itself, and its answer is lost.
-func (w *leaver) Stop(ctx context.Context, _ StopOrder) error {
+// Stop does nothing, as the run is about to end by itself, and its answer is lost.
+func (w *dyingWorker) Stop(ctx context.Context, _ StopOrder) error {
 	<-ctx.Done()
 	close(w.ended)
 	return kind.Wrap(kind.Lost, ctx.Err(), "stop")
 }
 
-func (w *leaver) Pace(context.Context, PaceOrder) error { return nil }
+func (w *dyingWorker) Pace(context.Context, PaceOrder) error { return nil }
 
-// endsAfter is how long after the stop is taken for lost the run ends: the hold that waits has
-// been given up by then.
-const endsAfter = 10 * time.Millisecond
+// endDelay is how long the run ends after the stop is considered lost. The waiting hold has been
+// abandoned by then.
+const endDelay = 10 * time.Millisecond
 
-func (w *leaver) Hold(ctx context.Context, o HoldOrder) (HoldAnswer, error) {
+func (w *dyingWorker) Hold(ctx context.Context, o HoldOrder) (HoldAnswer, error) {
 	if o.Target.Worker != "w" {
 		return w.lists(o.Target.Worker), nil
 	}
@@ -64,8 +64,8 @@
 	gone, running := w.gone, len(w.starts) > 0
 	w.mu.Unlock()
 	if gone || (running && o.Wait == 0) {
-		// It leaves before a hold under the next fence comes.
-		return HoldAnswer{}, errAway
+		// The worker leaves before a hold under the next fence arrives.
+		return HoldAnswer{}, errUnreachable
 	}
 	if o.Wait == 0 {
 		return HoldAnswer{ClockMS: 1}, nil
@@ -78,7 +78,7 @@
 		return HoldAnswer{}, kind.Wrap(kind.Lost, ctx.Err(), "hold")
 	}
 	select {
-	case <-time.After(endsAfter):
+	case <-time.After(endDelay):
 	case <-ctx.Done():
 		return HoldAnswer{}, kind.Wrap(kind.Lost, ctx.Err(), "hold")
 	}
@@ -91,8 +91,8 @@
 	return HoldAnswer{ClockMS: 2, Lists: cell.Lists{Finished: []cell.Finished{{Number: 1, Task: w.starts[0].Task, Run: w.starts[0].Run, How: flow.EndDone}}}}, nil
 }
 
-// lists lists what runs on a worker.
-func (w *leaver) lists(worker string) HoldAnswer {
+// lists returns the running runs on a worker.
+func (w *dyingWorker) lists(worker string) HoldAnswer {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	a := HoldAnswer{ClockMS: 1}
@@ -104,19 +104,19 @@
 	return a
 }
 
-func (w *leaver) started() int {
+func (w *dyingWorker) started() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return len(w.starts)
 }
 
-// two is a directory of the leaver and another worker, which comes later.
-type two struct {
+// growingDirectory contains the dyingWorker and, later, another worker.
+type growingDirectory struct {
 	mu   sync.Mutex
 	more bool
 }
 
-func (d *two) All(context.Context) ([]Entry, error) {
+func (d *growingDirectory) All(context.Context) ([]Entry, error) {
 	room := sched.Vec{sched.Milli: 1000, sched.MiB: 1000}
 	all := []Entry{{Worker: cell.Worker{ID: "w", Addr: "w", Pool: "p", Hall: "h", Room: room}, Ver: 1}}
 	d.mu.Lock()
@@ -127,11 +127,11 @@
 	return all, nil
 }
 
-var _ = ginkgo.Describe("an end listed while its worker is to be held anew", func() {
-	// play has a run begin on a worker, an order there lost, the run ended and the worker
-	// gone, with another worker free.
-	play := func(ctx context.Context, w *leaver) *Driver {
-		t, workers := newTable(), &two{}
+var _ = ginkgo.Describe("an end listed while its worker is to be attached again", func() {
+	// stopAndLeave starts a run on a worker, loses an order to it, and lets the run end and the worker
+	// disappear while another worker is free.
+	stopAndLeave := func(ctx context.Context, w *dyingWorker) *Driver {
+		t, workers := newTable(), &growingDirectory{}
 		t.putSpec("0")
 		d := newDriver(ctx, t, func() {})
 		d.Workers, d.Directory = w, workers
@@ -142,45 +142,45 @@
 		waits := func() bool {
 			d.mu.Lock()
 			defer d.mu.Unlock()
-			return d.links["w"].attached && d.links["w"].anew != nil
+			return d.links["w"].attached && d.links["w"].rehold != nil
 		}
 		Eventually(waits).Should(BeTrue())
-		// The hold that waits is on its way.
+		// Let the waiting hold reach the worker.
 		time.Sleep(50 * time.Millisecond)
 		workers.mu.Lock()
 		workers.more = true
 		workers.mu.Unlock()
 		d.mu.Lock()
-		d.stopRun(cell.Stop{Worker: "w", Addr: "w", Task: w.starts[0].Task, Run: w.starts[0].Run})
+		d.sendStop(cell.Stop{Worker: "w", Addr: "w", Task: w.starts[0].Task, Run: w.starts[0].Run})
 		d.mu.Unlock()
 		return d
 	}
 
-	ginkgo.It("counts, and the task is not started again when the lease is over", func(ctx context.Context) {
-		w := &leaver{ended: make(chan struct{})}
-		d := play(ctx, w)
+	ginkgo.It("counts, and the task is not started again when the lease has expired", func(ctx context.Context) {
+		w := &dyingWorker{ended: make(chan struct{})}
+		d := stopAndLeave(ctx, w)
 		Eventually(func() flow.State { s, _ := d.State("0"); return s }, "3s").Should(Equal(flow.Succeeded))
-		Consistently(w.started, stretch(d.Lease)+time.Second).Should(Equal(1))
+		Consistently(w.started, slowClockDuration(d.Lease)+time.Second).Should(Equal(1))
 	})
 
-	ginkgo.It("is told of, as a run that was left behind", func(ctx context.Context) {
+	ginkgo.It("may be missed, and then the run is logged as left behind", func(ctx context.Context) {
 		d := newDriver(ctx, newTable(), func() {})
 		var lines bytes.Buffer
 		d.Log = log.NewLogfmtLogger(&lines)
 		d.cell.Configure([]cell.Queue{{Name: "q", Pool: "p", MaxAttempts: 1}})
 		now := time.Now()
-		all, _ := (&two{}).All(ctx)
+		all, _ := (&growingDirectory{}).All(ctx)
 		d.cell.Heard(all[0].Worker, now)
 		d.cell.Attached("w", cell.Lists{Running: []cell.Running{{Task: flow.TaskID{Job: "j", Index: 3}, Run: 5, Percent: 98}}}, now)
-		l := &link{id: "w", entryWord: entryWord{draining: true}, life: life{heard: now.Add(-6 * time.Second)}}
-		d.holdFailed(l, errAway)
+		l := &link{id: "w", entryInfo: entryInfo{draining: true}, life: life{answeredAt: now.Add(-6 * time.Second)}}
+		d.holdFailed(l, errUnreachable)
 		Expect(lines.String()).To(ContainSubstring("event=lease_over worker=w left=true heard_ms_ago=6"))
 		Expect(lines.String()).To(ContainSubstring("event=run_left_behind job=j step=0 index=3 run=5 worker=w percent=98"))
 	})
 
-	ginkgo.It("is not known if that answer is lost and the worker gone: the task runs again, after the lease", func(ctx context.Context) {
-		w := &leaver{ended: make(chan struct{}), loses: true}
-		d := play(ctx, w)
+	ginkgo.It("is not known if that answer is lost and the worker gone: the task runs again after the lease has expired", func(ctx context.Context) {
+		w := &dyingWorker{ended: make(chan struct{}), loses: true}
+		d := stopAndLeave(ctx, w)
 		begun := time.Now()
 		Eventually(w.started, "5s").Should(Equal(2))
 		Expect(time.Since(begun)).To(BeNumerically(">", d.Lease/2))
--- a/driver/life.go
+++ b/driver/life.go
@@ -7,85 +7,86 @@
 )
 
 const (
-	// clockShare is how much slower than this clock a worker's may run, in
-	// hundredths, with some to spare.
-	clockShare = 3
-	// leaseSlack is added to the end of a lease for what was rounded.
+	// maxDriftPercent is by how much a worker's clock may run slower than this one, in percent,
+	// with a safety margin.
+	maxDriftPercent = 3
+	// leaseSlack is added to the end of a lease for rounding errors.
 	leaseSlack = 60 * time.Millisecond
-	// clockAhead is how far ahead of what is expected a worker's clock may be in an answer: an
-	// answer may have waited to be read.
-	clockAhead = 2 * time.Second
+	// maxClockAhead is how far a worker's clock in an answer may be ahead of the expected value, as
+	// an answer may have waited to be read.
+	maxClockAhead = 2 * time.Second
 )
 
-// life is what is known of one life of a worker, and ends with it: a worker that starts again
-// under its id knows nothing of before, and its clock starts anew.
+// life is the state of one life of a worker. A worker that restarts under the same id has no state
+// from before, and its clock starts anew.
 type life struct {
-	// born is when it began, by its own word; 0 if it is not known, or not said.
+	// born is the start time reported by the worker; 0 if unknown or not reported.
 	born int64
-	// clockMS was read on the worker's clock at the moment clockAt or before.
+	// clockMS was the reading of the worker's clock at clockAt or earlier.
 	clockMS int64
 	clockAt time.Time
-	// over is when the lease of all that runs there is surely over.
-	over   time.Time
-	lapsed bool
-	// listed is when the worker last listed what runs there, and heard when a hold last had
-	// an answer.
-	listed, heard time.Time
+	// leasesEnd is when the leases of all runs there have certainly expired.
+	leasesEnd time.Time
+	lapsed    bool
+	// listedAt is when the worker last listed its running runs, and answeredAt when it last
+	// answered a hold.
+	listedAt, answeredAt time.Time
 }
 
-// entryWord is what the newest entry of a worker says, for the life that wrote it.
-type entryWord struct {
-	// by is when that life began, 0 if the entry does not say.
-	by int64
-	// draining says that the worker leaves, and leaves is when it does at the earliest.
+// entryInfo is the content of the newest entry of a worker, which may be that of another life.
+type entryInfo struct {
+	// writerBorn is the start time of the life that wrote the entry, 0 if the entry does not say.
+	writerBorn int64
+	// draining says that the worker leaves, and leavesAt is the earliest time at which it does.
 	draining bool
-	leaves   time.Time
+	leavesAt time.Time
 }
 
-// isAnother reports whether an answer with a time of birth is that of another life than l is
-// known to have.
-func (l *life) isAnother(born int64) bool {
-	return (l.born != 0 || !l.heard.IsZero()) && born != l.born
+// isOtherLife reports whether an answer with the given start time comes from another life than the
+// known one.
+func (l *life) isOtherLife(born int64) bool {
+	return (l.born != 0 || !l.answeredAt.IsZero()) && born != l.born
 }
 
-// reborn takes in that another life of a worker has taken the newest fence: what is known of the
-// one before ends with it. The lock is held.
-func (d *Driver) reborn(l *link, o HoldOrder, a *HoldAnswer, now time.Time) {
+// replaceLife discards the state of the previous life after another life has accepted the newest
+// fence. The lock is held.
+func (d *Driver) replaceLife(l *link, o HoldOrder, a *HoldAnswer, now time.Time) {
 	d.logReborn(l, o, a, true)
-	// A lease given by the clock of before may be as long as the new life grants any.
-	l.life = life{over: now.Add(stretch(max(d.LeaseMost, d.Lease)))}
+	// A lease that was given by the previous life's clock may last as long as the longest lease
+	// that a worker grants.
+	l.life = life{leasesEnd: now.Add(slowClockDuration(max(d.LeaseMost, d.Lease)))}
 }
 
-// stretch returns how long a lease of d may last on a slow clock.
-func stretch(d time.Duration) time.Duration {
-	return d + d*clockShare/100 + leaseSlack
+// slowClockDuration returns how long a lease of d may last by this clock if the worker's is slow.
+func slowClockDuration(d time.Duration) time.Duration {
+	return d + d*maxDriftPercent/100 + leaseSlack
 }
 
-// until returns the end of a new lease on the worker's clock, 0 if that is not
-// known yet, and notes when it is surely over. The lock is held.
-func (d *Driver) until(l *link, now time.Time) int64 {
+// newLeaseEnd returns the end of a new lease by the worker's clock, 0 if that clock is not known
+// yet, and updates leasesEnd. The lock is held.
+func (d *Driver) newLeaseEnd(l *link, now time.Time) int64 {
 	if l.clockMS == 0 {
 		return 0
 	}
 	until := l.clockMS + now.Sub(l.clockAt).Milliseconds() + d.Lease.Milliseconds()
 	left := time.Duration(until-l.clockMS) * time.Millisecond
-	if over := l.clockAt.Add(stretch(left)); over.After(l.over) {
-		l.over = over
+	if over := l.clockAt.Add(slowClockDuration(left)); over.After(l.leasesEnd) {
+		l.leasesEnd = over
 	}
 	return until
 }
 
-// heardClock takes in a reading of the worker's clock.
-func (l *life) heardClock(ms int64, now time.Time) {
+// updateClock applies a reading of the worker's clock.
+func (l *life) updateClock(ms int64, now time.Time) {
 	if ms > 0 {
 		l.clockMS, l.clockAt = ms, now
 	}
 }
 
-// fits reports whether a reading of the worker's clock, in the answer to an order that was sent
-// when its clock was known to be past after, is one of this life. The answer to a start does not
-// say which life has given it.
-func (l *life) fits(ms, after int64, now time.Time) bool {
-	ahead := l.clockMS + (now.Sub(l.clockAt)*(100+clockShare)/100 + clockAhead).Milliseconds()
+// plausibleClock reports whether a reading of the worker's clock can belong to this life. The
+// reading is in the answer to an order that was sent when the clock was known to be past after. It
+// is checked because the answer to a start does not say which life has given it.
+func (l *life) plausibleClock(ms, after int64, now time.Time) bool {
+	ahead := l.clockMS + (now.Sub(l.clockAt)*(100+maxDriftPercent)/100 + maxClockAhead).Milliseconds()
 	return ms == 0 || l.clockMS == 0 || (ms >= after && ms <= ahead)
 }
--- a/driver/life_test.go
+++ b/driver/life_test.go
@@ -18,10 +18,10 @@
 
 const bornBefore, bornAfter = 1000, 2000
 
-// lives is a worker that starts again under its id when it is told to, and a directory of it. A
-// run there takes no time.
-type lives struct {
-	away
+// restartingWorker implements Workers for a worker that can be restarted under its id, and a
+// directory with its entry. Its runs end at once.
+type restartingWorker struct {
+	unreachable
 
 	mu       sync.Mutex
 	born     int64
@@ -32,28 +32,28 @@
 	holds    []HoldOrder
 	starts   []StartOrder
 	observed int
-	// forgot is set when the worker forgot an end that it had not listed.
+	// forgot is set when the worker was told to forget an end that it had not listed.
 	forgot  bool
 	listed  int
 	begun   time.Time
 	changed chan struct{}
 }
 
-func newLives() *lives {
-	return &lives{born: bornBefore, addr: "a", clockMS: 5_000_000, begun: time.Now(), changed: make(chan struct{})}
+func newRestartingWorker() *restartingWorker {
+	return &restartingWorker{born: bornBefore, addr: "a", clockMS: 5_000_000, begun: time.Now(), changed: make(chan struct{})}
 }
 
-func (w *lives) clock() int64 { return w.clockMS + time.Since(w.begun).Milliseconds() }
+func (w *restartingWorker) clock() int64 { return w.clockMS + time.Since(w.begun).Milliseconds() }
 
-// restart begins another life.
-func (w *lives) restart(addr string) {
+// restart begins another life at the given address.
+func (w *restartingWorker) restart(addr string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.born, w.addr, w.clockMS, w.begun = bornAfter, addr, 1, time.Now()
 	w.fence, w.ends, w.observed, w.listed = 0, nil, 0, 0
 }
 
-func (w *lives) Start(_ context.Context, o StartOrder) (StartAnswer, error) {
+func (w *restartingWorker) Start(_ context.Context, o StartOrder) (StartAnswer, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.starts = append(w.starts, o)
@@ -63,11 +63,11 @@
 	return StartAnswer{ClockMS: w.clock(), Outcome: cell.Accepted}, nil
 }
 
-func (w *lives) Hold(ctx context.Context, o HoldOrder) (HoldAnswer, error) {
+func (w *restartingWorker) Hold(ctx context.Context, o HoldOrder) (HoldAnswer, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if o.Addr != w.addr {
-		return HoldAnswer{}, errAway
+		return HoldAnswer{}, errUnreachable
 	}
 	if o.Fence < w.fence {
 		return HoldAnswer{}, kind.New(kind.Fenced, "fence")
@@ -95,22 +95,22 @@
 	return HoldAnswer{ClockMS: w.clock(), Lists: cell.Lists{Born: w.born, Finished: append([]cell.Finished(nil), w.ends...)}}, nil
 }
 
-func (w *lives) All(context.Context) ([]Entry, error) {
+func (w *restartingWorker) All(context.Context) ([]Entry, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	one := cell.Worker{ID: "w", Born: w.born, Addr: w.addr, Pool: "p", Hall: "h", Room: sched.Vec{sched.Milli: 1000, sched.MiB: 1000}}
 	return []Entry{{Worker: one, Ver: uint64(w.born)}}, nil
 }
 
-// begins counts the starts.
-func (w *lives) begins() int {
+// startCount returns the number of starts received.
+func (w *restartingWorker) startCount() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return len(w.starts)
 }
 
-var _ = ginkgo.Describe("a worker that starts again under its id", func() {
-	run := func(ctx context.Context, w *lives) *Driver {
+var _ = ginkgo.Describe("a worker that restarts under its id", func() {
+	startDriver := func(ctx context.Context, w *restartingWorker) *Driver {
 		d := newDriver(ctx, newTable(), func() {})
 		d.Workers, d.Directory = w, w
 		d.Configure([]cell.Queue{{Name: "q", Pool: "p", MaxAttempts: 1}})
@@ -119,21 +119,21 @@
 		Eventually(func() bool { d.mu.Lock(); defer d.mu.Unlock(); return d.links["w"] != nil && d.links["w"].attached }, "3s").Should(BeTrue())
 		return d
 	}
-	do := func(d *Driver, id string) {
+	runJob := func(d *Driver, id string) {
 		ginkgo.GinkgoHelper()
 		Expect(d.Adopt(&flow.Spec{ID: id, Cell: "c", Queue: "q", Hall: "h", Steps: []flow.Step{{Count: 1}}}, 1<<30)).To(Succeed())
 		Eventually(func() flow.State { s, _ := d.State(id); return s }, "3s").Should(Equal(flow.Succeeded), id)
 	}
 
-	ginkgo.It("between two looks, seen by its lists alone, runs nothing twice and forgets no end unheard", func(ctx context.Context) {
-		w := newLives()
-		d := run(ctx, w)
+	ginkgo.It("between two directory reads runs nothing twice and forgets no end that was not listed", func(ctx context.Context) {
+		w := newRestartingWorker()
+		d := startDriver(ctx, w)
 		for _, id := range []string{"1", "2", "3"} {
-			do(d, id)
+			runJob(d, id)
 		}
 		w.restart("a")
 		for _, id := range []string{"4", "5", "6"} {
-			do(d, id)
+			runJob(d, id)
 		}
 		w.mu.Lock()
 		defer w.mu.Unlock()
@@ -141,19 +141,19 @@
 		Expect(w.forgot).To(BeFalse())
 	})
 
-	ginkgo.It("at another address is held there", func(ctx context.Context) {
-		w := newLives()
-		d := run(ctx, w)
-		do(d, "1")
+	ginkgo.It("at another address is attached there", func(ctx context.Context) {
+		w := newRestartingWorker()
+		d := startDriver(ctx, w)
+		runJob(d, "1")
 		w.restart("b")
-		do(d, "2")
-		Expect(w.begins()).To(Equal(2))
+		runJob(d, "2")
+		Expect(w.startCount()).To(Equal(2))
 	})
 
 	ginkgo.It("is told to forget nothing when it is attached", func(ctx context.Context) {
-		w := newLives()
-		d := run(ctx, w)
-		do(d, "1")
+		w := newRestartingWorker()
+		d := startDriver(ctx, w)
+		runJob(d, "1")
 		w.mu.Lock()
 		w.addr = "nowhere"
 		close(w.changed)
@@ -161,7 +161,7 @@
 		w.mu.Unlock()
 		Eventually(func() bool { d.mu.Lock(); defer d.mu.Unlock(); return d.links["w"].attached }, "5s").Should(BeFalse())
 		w.restart("nowhere")
-		// An order of before reaches it late.
+		// A late order for the previous life reaches it.
 		_, _ = w.Start(ctx, StartOrder{Task: flow.TaskID{Job: "1"}, Run: 1})
 		w.mu.Lock()
 		w.addr = "a"
@@ -172,8 +172,9 @@
 		Expect(w.forgot).To(BeFalse())
 	})
 
-	// known is a driver whose link to a worker is attached to a life, and runs nothing by itself.
-	known := func(ctx context.Context) (*Driver, *link) {
+	// attachedDriver returns a driver whose link is attached to a worker's life and which sends nothing by
+	// itself.
+	attachedDriver := func(ctx context.Context) (*Driver, *link) {
 		d := newDriver(ctx, newTable(), func() {})
 		d.cancel()
 		ginkgo.DeferCleanup(d.Close)
@@ -182,87 +183,87 @@
 		d.cell.Configure([]cell.Queue{{Name: "q", Pool: "p", MaxAttempts: 1}})
 		now := time.Now()
 		room := sched.Vec{sched.Milli: 1000, sched.MiB: 1000}
-		d.heard(Entry{Ver: 1, Worker: cell.Worker{ID: "w", Born: bornBefore, Addr: "a", Pool: "p", Hall: "h", Room: room}}, now)
+		d.applyEntry(Entry{Ver: 1, Worker: cell.Worker{ID: "w", Born: bornBefore, Addr: "a", Pool: "p", Hall: "h", Room: room}}, now)
 		l := d.links["w"]
 		d.mu.Unlock()
-		err := d.held(l, HoldOrder{Target: Target{Fence: l.fence}}, HoldAnswer{ClockMS: 5_000_000, Lists: cell.Lists{Born: bornBefore}}, now, true)
+		err := d.holdAnswered(l, HoldOrder{Target: Target{Fence: l.fence}}, HoldAnswer{ClockMS: 5_000_000, Lists: cell.Lists{Born: bornBefore}}, now, true)
 		d.mu.Lock()
 		Expect(err).NotTo(HaveOccurred())
 		Expect(l.attached).To(BeTrue())
 		return d, l
 	}
 	answer := func(d *Driver, l *link, born int64, attach bool) error {
-		return d.held(l, HoldOrder{Target: Target{Fence: l.fence}, Wait: time.Second}, HoldAnswer{ClockMS: 1, Lists: cell.Lists{Born: born}}, time.Now(), attach)
+		return d.holdAnswered(l, HoldOrder{Target: Target{Fence: l.fence}, Wait: time.Second}, HoldAnswer{ClockMS: 1, Lists: cell.Lists{Born: born}}, time.Now(), attach)
 	}
 
-	ginkgo.It("is held anew before anything follows from a list under a fence that orders of before bear", func(ctx context.Context) {
-		d, l := known(ctx)
+	ginkgo.It("is attached again before a list counts that came under a fence of orders for the previous life", func(ctx context.Context) {
+		d, l := attachedDriver(ctx)
 		Expect(answer(d, l, bornAfter, false)).To(Succeed())
 		Expect(l.attached).To(BeFalse())
 		Expect(l.born).To(Equal(int64(bornBefore)))
 		d.workerListChanged = false
 		Expect(answer(d, l, bornAfter, true)).To(Succeed())
-		Expect(d.workerListChanged).To(BeTrue(), "the next owner has to know")
+		Expect(d.workerListChanged).To(BeTrue(), "the next owner has to know the new life")
 		Expect(l.born).To(Equal(int64(bornAfter)))
 		Expect(l.clockMS).To(Equal(int64(1)))
 	})
 
-	ginkgo.It("may run on for as long as a worker grants a lease, by a deadline on the clock of before", func(ctx context.Context) {
-		d, l := known(ctx)
+	ginkgo.It("may keep a lease set by the previous life's clock for the longest time that workers grant", func(ctx context.Context) {
+		d, l := attachedDriver(ctx)
 		d.LeaseMost = 10 * time.Second
 		Expect(answer(d, l, bornAfter, true)).To(Succeed())
-		Expect(time.Until(l.over)).To(BeNumerically(">", 9*time.Second))
+		Expect(time.Until(l.leasesEnd)).To(BeNumerically(">", 9*time.Second))
 	})
 
-	ginkgo.It("is not believed to be the same where it does not say so any more", func(ctx context.Context) {
-		d, l := known(ctx)
+	ginkgo.It("is not taken for the same life if it no longer states its start time", func(ctx context.Context) {
+		d, l := attachedDriver(ctx)
 		err := answer(d, l, 0, false)
 		Expect(kind.Is(err, kind.Damaged)).To(BeTrue())
 	})
 
-	ginkgo.It("is held anew once where an entry is of another life, and at the address that it says", func(ctx context.Context) {
-		d, l := known(ctx)
+	ginkgo.It("is attached again once after an entry of another life, and at the entry's address", func(ctx context.Context) {
+		d, l := attachedDriver(ctx)
 		d.mu.Lock()
 		defer d.mu.Unlock()
-		hear := func(ver uint64, born int64, addr string) {
-			d.heard(Entry{Ver: ver, Worker: cell.Worker{ID: "w", Born: born, Addr: addr, Pool: "p", Hall: "h"}}, time.Now())
+		applyEntry := func(ver uint64, born int64, addr string) {
+			d.applyEntry(Entry{Ver: ver, Worker: cell.Worker{ID: "w", Born: born, Addr: addr, Pool: "p", Hall: "h"}}, time.Now())
 		}
-		hear(2, bornAfter, "a")
+		applyEntry(2, bornAfter, "a")
 		Expect(l.attached).To(BeFalse())
 		l.attached = true
-		hear(3, bornAfter, "a")
+		applyEntry(3, bornAfter, "a")
 		Expect(l.attached).To(BeTrue())
-		hear(4, bornAfter, "b")
+		applyEntry(4, bornAfter, "b")
 		Expect(l.attached).To(BeFalse())
 		Expect(l.addr).To(Equal("b"))
 	})
 
-	ginkgo.It("is not over because another worker is at the address of before", func(ctx context.Context) {
-		d, l := known(ctx)
+	ginkgo.It("is not dead because another worker is at its former address", func(ctx context.Context) {
+		d, l := attachedDriver(ctx)
 		d.mu.Lock()
-		o, _ := d.startOrder(&cell.Start{Worker: "w", Task: flow.TaskID{Job: "0"}, Run: 1}, time.Now())
-		d.heard(Entry{Ver: 2, Worker: cell.Worker{ID: "w", Born: bornBefore, Addr: "b"}}, time.Now())
+		o, _ := d.newStartOrder(&cell.Start{Worker: "w", Task: flow.TaskID{Job: "0"}, Run: 1}, time.Now())
+		d.applyEntry(Entry{Ver: 2, Worker: cell.Worker{ID: "w", Born: bornBefore, Addr: "b"}}, time.Now())
 		other := kind.New(kind.NotFound, "another life is at a")
 		d.ctx = ctx
 		d.startAnswered(&o, StartResult{Err: other})
 		Expect(d.links).To(HaveKey("w"))
 		d.mu.Unlock()
-		Expect(kind.Is(d.ofAddress(l, "a", other), kind.NotFound)).To(BeFalse())
-		Expect(kind.Is(d.ofAddress(l, "b", other), kind.NotFound)).To(BeTrue())
+		Expect(kind.Is(d.ignoreOldAddress(l, "a", other), kind.NotFound)).To(BeFalse())
+		Expect(kind.Is(d.ignoreOldAddress(l, "b", other), kind.NotFound)).To(BeTrue())
 	})
 
-	ginkgo.It("is missing here once its entry is in a rack of another cell", func(ctx context.Context) {
-		d, l := known(ctx)
+	ginkgo.It("is missing in this cell once its entry is in a rack of another cell", func(ctx context.Context) {
+		d, l := attachedDriver(ctx)
 		d.Mine = func(rack string) bool { return rack != "theirs" }
-		d.readAll([]Entry{{Ver: 2, Worker: cell.Worker{ID: "w", Born: bornAfter, Addr: "b", Rack: "theirs"}}})
-		Expect(l.missing).NotTo(BeZero())
+		d.applyDirectory([]Entry{{Ver: 2, Worker: cell.Worker{ID: "w", Born: bornAfter, Addr: "b", Rack: "theirs"}}})
+		Expect(l.missingSince).NotTo(BeZero())
 	})
 
-	ginkgo.It("keeps its clock though an answer to the life before is read late", func(ctx context.Context) {
-		d, l := known(ctx)
+	ginkgo.It("keeps its clock though a late answer of the previous life is read", func(ctx context.Context) {
+		d, l := attachedDriver(ctx)
 		d.mu.Lock()
 		defer d.mu.Unlock()
-		o, _ := d.startOrder(&cell.Start{Worker: "w", Task: flow.TaskID{Job: "0"}, Run: 1}, time.Now())
+		o, _ := d.newStartOrder(&cell.Start{Worker: "w", Task: flow.TaskID{Job: "0"}, Run: 1}, time.Now())
 		l.fence++
 		l.life = life{born: bornAfter, clockMS: 1, clockAt: time.Now()}
 		d.ctx = ctx
@@ -270,8 +271,8 @@
 		Expect(l.clockMS).To(Equal(int64(1)))
 	})
 
-	ginkgo.It("is not ended by the upkeep that ended the life before", func(ctx context.Context) {
-		d, _ := known(ctx)
+	ginkgo.It("is not ended by the upkeep that ended the previous life", func(ctx context.Context) {
+		d, _ := attachedDriver(ctx)
 		d.Over("w", bornBefore-1)
 		Expect(d.links).To(HaveKey("w"))
 		born, sure := d.Life("w")
@@ -281,23 +282,23 @@
 		Expect(d.links).NotTo(HaveKey("w"))
 	})
 
-	ginkgo.It("does not leave, by an entry of its own, because the life before did", func(ctx context.Context) {
-		d, l := known(ctx)
+	ginkgo.It("has a leaving time of its own, not that of the previous life", func(ctx context.Context) {
+		d, l := attachedDriver(ctx)
 		d.mu.Lock()
 		defer d.mu.Unlock()
-		d.heard(Entry{Ver: 2, Worker: cell.Worker{ID: "w", Born: bornBefore, Addr: "a", Draining: true, Remaining: time.Hour}}, time.Now())
+		d.applyEntry(Entry{Ver: 2, Worker: cell.Worker{ID: "w", Born: bornBefore, Addr: "a", Draining: true, Remaining: time.Hour}}, time.Now())
 		Expect(l.draining).To(BeTrue())
-		d.heard(Entry{Ver: 3, Worker: cell.Worker{ID: "w", Born: bornAfter, Addr: "a", Draining: true, Remaining: time.Second}}, time.Now())
-		Expect(time.Until(l.leaves)).To(BeNumerically("<", 2*time.Second))
+		d.applyEntry(Entry{Ver: 3, Worker: cell.Worker{ID: "w", Born: bornAfter, Addr: "a", Draining: true, Remaining: time.Second}}, time.Now())
+		Expect(time.Until(l.leavesAt)).To(BeNumerically("<", 2*time.Second))
 	})
 
-	ginkgo.It("is held anew where the answer to a start bears the clock of another life", func(ctx context.Context) {
+	ginkgo.It("is attached again if the answer to a start has the clock of another life", func(ctx context.Context) {
 		for _, ms := range []int64{1, 9_000_000} {
-			d, l := known(ctx)
+			d, l := attachedDriver(ctx)
 			d.mu.Lock()
-			o, ok := d.startOrder(&cell.Start{Worker: "w", Task: flow.TaskID{Job: "0"}, Run: 1}, time.Now())
+			o, ok := d.newStartOrder(&cell.Start{Worker: "w", Task: flow.TaskID{Job: "0"}, Run: 1}, time.Now())
 			Expect(ok).To(BeTrue())
-			// Under a context that has ended no answer is taken in.
+			// Answers are ignored once the driver's context has ended.
 			d.ctx = ctx
 			d.startAnswered(&o, StartResult{Answer: StartAnswer{ClockMS: 5_000_001}})
 			Expect(l.attached).To(BeTrue())
@@ -307,7 +308,7 @@
 		}
 	})
 
-	ginkgo.It("is told of to the next owner", func(ctx context.Context) {
+	ginkgo.It("is known to the next owner by the worker list", func(ctx context.Context) {
 		t := newTable()
 		d := newDriver(ctx, t, func() {})
 		defer d.Close()
@@ -323,20 +324,20 @@
 		Expect(next.links["w"].born).To(Equal(int64(bornBefore)))
 	})
 
-	ginkgo.It("is held from here where a carrier does not say which life answers", func(ctx context.Context) {
+	ginkgo.It("is held directly if a carrier does not say which life has answered", func(ctx context.Context) {
 		d := newDriver(ctx, newTable(), func() {})
 		defer d.Close()
-		w := newLives()
-		d.Workers, d.Carriers = w, mute{}
-		a, err := d.sendHold(ctx, sentHold{HoldOrder: HoldOrder{Target: Target{Worker: "w", Addr: "a"}}, hall: "h", limit: time.Second, carried: true, born: bornBefore})
+		w := newRestartingWorker()
+		d.Workers, d.Carriers = w, carriersWithoutBorn{}
+		a, err := d.sendHold(ctx, pendingHold{HoldOrder: HoldOrder{Target: Target{Worker: "w", Addr: "a"}}, hall: "h", limit: time.Second, carried: true, born: bornBefore})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(a.Lists.Born).To(Equal(int64(bornBefore)))
 	})
 })
 
-// mute are carriers that leave out which life of a worker answers.
-type mute struct{ noCarriers }
+// carriersWithoutBorn are Carriers whose answers do not say which life has answered.
+type carriersWithoutBorn struct{ noCarriers }
 
-func (mute) Hold(context.Context, string, HoldOrder, time.Duration) (HoldAnswer, bool, error) {
+func (carriersWithoutBorn) Hold(context.Context, string, HoldOrder, time.Duration) (HoldAnswer, bool, error) {
 	return HoldAnswer{ClockMS: 1}, true, nil
 }
--- a/driver/link.go
+++ b/driver/link.go
@@ -15,122 +15,123 @@
 )
 
 const (
-	// An order whose answer takes much longer than those of its worker do is taken for
-	// lost, between orderLeast and orderMost after it was sent: the worker is held under
-	// the next fence at once, and what did not begin starts again. Answers take 2 to 12 ms
-	// between halls; an owner that is short of a processor needs some tens to read them.
-	orderLeast = 100 * time.Millisecond
-	orderMost  = 700 * time.Millisecond
-	// attachMost is how many workers of one hall are attached at once. Each answer lists
-	// what runs, about 1 KB: those of five halls take 0.16 s on a link of 2 Mbit/s, within
-	// the time that a first answer has, and all 220 workers of a hall 0.2 s on a fast one.
-	// Those of a hall that is out of reach do not hold up the others.
-	attachMost = 8
-	// quiet is how long an order may go without an answer before the worker is
-	// given nothing more; answers take a few milliseconds.
-	quiet = 150 * time.Millisecond
-	// retryFirst and retryMost space the tries to reach a worker.
-	retryFirst = 20 * time.Millisecond
-	retryMost  = 400 * time.Millisecond
-	// goneAfter is how long a worker's entry may be missing before nothing is
-	// placed there: entries come back after the store was away.
-	goneAfter = 2200 * time.Millisecond
+	// An order whose answer takes much longer than usual for its worker is considered lost, between
+	// minOrderTimeout and maxOrderTimeout after it was sent: the worker is attached again at once
+	// under the next fence, and runs that did not begin are started again. Answers take 2 to 12 ms
+	// between halls; an owner with little CPU time needs some tens of milliseconds to read them.
+	minOrderTimeout = 100 * time.Millisecond
+	maxOrderTimeout = 700 * time.Millisecond
+	// maxAttaching is how many workers of one hall are attached at once. Each answer lists the
+	// running runs, about 1 KB. The answers of five halls together take 0.16 s on a 2 Mbit/s link,
+	// within the timeout of a first answer, and all 220 workers of a hall are attached in 0.2 s on
+	// a fast one. The limit is per hall so that an unreachable hall does not delay the others.
+	maxAttaching = 8
+	// overdueAfter is how long an order may have no answer before its worker gets no new runs.
+	// Answers take a few milliseconds.
+	overdueAfter = 150 * time.Millisecond
+	// minRetryDelay and maxRetryDelay bound the backoff between attempts to reach a worker.
+	minRetryDelay = 20 * time.Millisecond
+	maxRetryDelay = 400 * time.Millisecond
+	// missingGrace is how long a worker's entry may be missing before nothing is placed there:
+	// entries reappear after an outage of the store.
+	missingGrace = 2200 * time.Millisecond
 )
 
-// link is what a Driver knows of a worker beyond the cell: what holds whichever life answers
-// under its id, and what holds for one life alone.
+// link is the driver's state of a worker, apart from that in the cell. Fields outside life and
+// entryInfo hold across the worker's lives.
 type link struct {
 	id, addr, hall string
 	fence          uint64
 	attached       bool
 	life
-	entryWord
-	// anew says that the worker is to be held anew, without the answer of the hold that waits
-	// there.
-	anew context.CancelFunc
-	// leftover cancels such a hold: its answer may list ends that come no second time, until
-	// the worker is attached again and has listed everything.
-	leftover context.CancelFunc
-	cancel   context.CancelFunc
-	// missing is since when the worker's entry is gone.
-	missing time.Time
-	// answers are those of the worker to starts, and to holds that do not wait.
-	answers rtt.Estimate
-	// orders holds when each order without an answer was sent.
-	orders map[uint64]time.Time
-	count  uint64
-	kick   chan struct{}
-	// attaching has room for as many as may be attached at once.
-	attaching chan struct{}
-	// ver is the version of the newest entry.
-	ver uint64
+	entryInfo
+	// rehold makes the link attach the worker again without waiting for the answer to the present
+	// hold.
+	rehold context.CancelFunc
+	// cancelAbandoned cancels a hold that is no longer waited for. Its answer may list ends that
+	// are not listed again, so it is cancelled only once the worker has been attached again and has
+	// listed everything.
+	cancelAbandoned context.CancelFunc
+	cancel          context.CancelFunc
+	// missingSince is when the worker's entry was first missing, zero while there is one.
+	missingSince time.Time
+	// answerTimes estimates the worker's response time to starts and to holds that do not wait.
+	answerTimes rtt.Estimate
+	// pendingOrders holds, by number, when each order without an answer was sent.
+	pendingOrders map[uint64]time.Time
+	orderCount    uint64
+	retryNow      chan struct{}
+	// attachSlots is the semaphore of the workers of the hall that are being attached.
+	attachSlots chan struct{}
+	// entryVer is the version of the newest entry.
+	entryVer uint64
 }
 
 // connect starts the link to a worker. The lock is held.
 func (d *Driver) connect(id, addr, hall string) {
 	ctx, cancel := context.WithCancel(d.ctx)
 	l := &link{
-		id: id, addr: addr, hall: hall, cancel: cancel, kick: make(chan struct{}, 1),
-		// It may be back after it was given up, and then has seen fences of this owner.
+		id: id, addr: addr, hall: hall, cancel: cancel, retryNow: make(chan struct{}, 1),
+		// The worker may have been given up before, and then has seen fences of this owner.
 		fence: max(d.Claim.Epoch()*fencesPerEpoch, d.topFence),
 	}
-	// A former owner that still lives gives its last orders before its cell lease is no longer
-	// valid.
-	l.over = d.began.Add(d.Former + claim.Margin + stretch(d.Lease))
+	// A former owner that is still alive sends its last orders before its cell lease expires.
+	l.leasesEnd = d.startedAt.Add(d.Former + claim.Margin + slowClockDuration(d.Lease))
 	d.links[id] = l
-	l.attaching = d.attachingIn(hall)
+	l.attachSlots = d.attachSlotsOf(hall)
 	d.workerListChanged = true
 	d.spawn(func() { d.runLink(ctx, l) })
 }
 
-// nextFence raises the fence of a worker, and returns it. The lock is held.
+// nextFence raises the fence of a worker and returns it. The lock is held.
 func (d *Driver) nextFence(l *link) uint64 {
 	l.fence++
 	d.topFence = max(d.topFence, l.fence)
 	return l.fence
 }
 
-// attachingIn returns the places of the workers of a hall that are being attached. The lock is
+// attachSlotsOf returns the semaphore of the workers of a hall that are being attached. The lock is
 // held.
-func (d *Driver) attachingIn(hall string) chan struct{} {
-	if d.attaching[hall] == nil {
-		d.attaching[hall] = make(chan struct{}, attachMost)
+func (d *Driver) attachSlotsOf(hall string) chan struct{} {
+	if d.attachSlots[hall] == nil {
+		d.attachSlots[hall] = make(chan struct{}, maxAttaching)
 	}
-	return d.attaching[hall]
+	return d.attachSlots[hall]
 }
 
-// sentOrder notes an order and returns its number. The lock is held.
-func (l *link) sentOrder(now time.Time) uint64 {
-	if l.orders == nil {
-		l.orders = make(map[uint64]time.Time)
+// addOrder records an order in flight and returns its number. The lock is held.
+func (l *link) addOrder(now time.Time) uint64 {
+	if l.pendingOrders == nil {
+		l.pendingOrders = make(map[uint64]time.Time)
 	}
-	l.count++
-	l.orders[l.count] = now
-	return l.count
+	l.orderCount++
+	l.pendingOrders[l.orderCount] = now
+	return l.orderCount
 }
 
-// orderTime returns how long the answer to an order is waited for where nothing else is late.
-func (l *link) orderTime() time.Duration { return l.answers.Wait(orderLeast, orderMost) }
+// orderTimeout returns the timeout of an order by the worker's own response times.
+func (l *link) orderTimeout() time.Duration {
+	return l.answerTimes.Wait(minOrderTimeout, maxOrderTimeout)
+}
 
-// orderTime returns how long the answer to an order is waited for: longer while the answers
-// of several workers are late, which is then no sign that one is lost. The lock is held.
-func (d *Driver) orderTime(l *link, now time.Time) time.Duration {
-	return min(l.orderTime()+d.lateness.By(now), orderMost)
+// orderTimeout returns the timeout of an order. It is longer while the answers of several workers
+// are late, which is then no sign that a single one is lost. The lock is held.
+func (d *Driver) orderTimeout(l *link, now time.Time) time.Duration {
+	return min(l.orderTimeout()+d.lateness.By(now), maxOrderTimeout)
 }
 
-// lateTimer is how late a timer may be served before it says that this process was not
-// running: its limit is then no sign of how long a worker took.
-const lateTimer = 20 * time.Millisecond
+// timerDelayThreshold is the timer delay from which this process counts as not having run: the
+// timeout then says nothing about the worker's response time.
+const timerDelayThreshold = 20 * time.Millisecond
 
-// answerWithin returns a context that ends when no answer has come within limit. Where this
-// process itself was not running meanwhile, the answer may have been waiting to be read
-// for long, and the limit begins again, once.
-func answerWithin(parent context.Context, limit time.Duration) (context.Context, context.CancelFunc) {
+// withAnswerTimeout returns a context that ends after limit. If this process did not run meanwhile,
+// the answer may be waiting to be read, and the limit is granted once more.
+func withAnswerTimeout(parent context.Context, limit time.Duration) (context.Context, context.CancelFunc) {
 	ctx, stop := context.WithCancelCause(parent)
 	due := clock.Now().Add(limit)
 	end := func() { stop(context.DeadlineExceeded) }
 	timer := time.AfterFunc(limit, func() {
-		if clock.Since(due) < lateTimer {
+		if clock.Since(due) < timerDelayThreshold {
 			end()
 			return
 		}
@@ -143,23 +144,23 @@
 	}
 }
 
-// silent reports whether an order has gone without an answer for too long.
-func (l *link) silent(now time.Time) bool {
-	for _, sent := range l.orders {
-		if now.Sub(sent) > quiet {
+// hasOverdueOrder reports whether an order has had no answer for longer than overdueAfter.
+func (l *link) hasOverdueOrder(now time.Time) bool {
+	for _, sent := range l.pendingOrders {
+		if now.Sub(sent) > overdueAfter {
 			return true
 		}
 	}
 	return false
 }
 
-// runLink keeps hold of a worker until ctx ends or the worker is no more.
+// runLink attaches a worker and polls it until ctx ends or the worker is gone.
 func (d *Driver) runLink(ctx context.Context, l *link) {
-	wait := retryFirst
+	wait := minRetryDelay
 	for ctx.Err() == nil {
 		err := d.hold(ctx, l)
 		if err == nil {
-			wait = retryFirst
+			wait = minRetryDelay
 			continue
 		}
 		if ctx.Err() != nil || d.holdFailed(l, err) {
@@ -167,61 +168,61 @@
 		}
 		select {
 		case <-time.After(wait):
-		case <-l.kick:
+		case <-l.retryNow:
 		case <-ctx.Done():
 		}
-		wait = min(2*wait, retryMost)
+		wait = min(2*wait, maxRetryDelay)
 	}
 }
 
-// unsure makes a link attach again. The lock is held.
-func (d *Driver) unsure(id string) {
+// reattach makes the link attach its worker again. The lock is held.
+func (d *Driver) reattach(id string) {
 	l := d.links[id]
 	if l == nil || !l.attached {
 		return
 	}
 	d.cell.Unsure(id, clock.Now())
 	l.attached = false
-	if l.anew != nil {
-		l.anew()
+	if l.rehold != nil {
+		l.rehold()
 	}
-	notify(l.kick)
+	notify(l.retryNow)
 }
 
-// stopRun sends a stop. The lock is held.
-func (d *Driver) stopRun(s cell.Stop) {
+// sendStop sends an order to stop a run. The lock is held.
+func (d *Driver) sendStop(s cell.Stop) {
 	l := d.links[s.Worker]
 	if l == nil || !l.attached {
 		return
 	}
 	level.Debug(d.Log).Log("event", "stop", "job", s.Task.Job, "step", s.Task.Step, "index", s.Task.Index, "run", s.Run, "worker", s.Worker)
 	o := StopOrder{Target: Target{Worker: s.Worker, Addr: l.addr, Fence: l.fence}, Task: s.Task, Run: s.Run}
-	d.order(o.Target, func(ctx context.Context) error { return d.Workers.Stop(ctx, o) })
+	d.sendOrder(o.Target, func(ctx context.Context) error { return d.Workers.Stop(ctx, o) })
 }
 
-// paceRun sends how fast a run may work. The lock is held.
-func (d *Driver) paceRun(p cell.Pace) {
+// sendPace sends an order that limits the speed of a run. The lock is held.
+func (d *Driver) sendPace(p cell.Pace) {
 	l := d.links[p.Worker]
 	if l == nil || !l.attached {
 		return
 	}
 	level.Debug(d.Log).Log("event", "pace", "job", p.Task.Job, "step", p.Task.Step, "index", p.Task.Index, "run", p.Run, "worker", p.Worker, "percent", p.Percent)
 	o := PaceOrder{Target: Target{Worker: p.Worker, Addr: l.addr, Fence: l.fence}, Task: p.Task, Run: p.Run, Percent: p.Percent}
-	d.order(o.Target, func(ctx context.Context) error { return d.Workers.Pace(ctx, o) })
+	d.sendOrder(o.Target, func(ctx context.Context) error { return d.Workers.Pace(ctx, o) })
 }
 
-// order sends an order whose outcome the worker's lists show. If its answer is
-// lost, the worker is attached again. The lock is held.
-func (d *Driver) order(t Target, send func(context.Context) error) {
-	limit := d.orderTime(d.links[t.Worker], clock.Now())
+// sendOrder sends an order whose effect shows in the worker's lists. If the answer is lost, the
+// worker is attached again. The lock is held.
+func (d *Driver) sendOrder(t Target, send func(context.Context) error) {
+	limit := d.orderTimeout(d.links[t.Worker], clock.Now())
 	d.spawn(func() {
-		ctx, cancel := answerWithin(d.ctx, limit)
+		ctx, cancel := withAnswerTimeout(d.ctx, limit)
 		defer cancel()
 		err := send(ctx)
 		d.mu.Lock()
 		defer d.mu.Unlock()
 		if l := d.links[t.Worker]; err != nil && l != nil && l.fence == t.Fence {
-			d.unsure(t.Worker)
+			d.reattach(t.Worker)
 		}
 	})
 }
--- a/driver/load.go
+++ b/driver/load.go
@@ -17,30 +17,29 @@
 )
 
 const (
-	// loadPage is how many rows are read at once. All parts are read side by side,
-	// as each answer of a slow store takes its time; what failed is read
-	// loadAgain parts at a time, as an instance with a slow link has to have each
-	// answer in time.
-	loadPage  = 100
-	loadAgain = 4
-	// loadMost is how long an owner may take to read its jobs before another
-	// instance should try.
-	loadMost = 4 * time.Second
+	// rowsPerPage is the number of rows per read. All parts are read concurrently because a slow
+	// store takes long for each answer. After a failure, retryParallelism limits the concurrent
+	// reads, because an instance with a slow link must get each answer in time.
+	rowsPerPage      = 100
+	retryParallelism = 4
+	// loadTimeout is how long an owner may take to read its jobs before another instance should
+	// try.
+	loadTimeout = 4 * time.Second
 )
 
-// reading is what was read so far of the jobs of a cell. A part that failed is
-// read on from where it was, the others are not read again.
-type reading struct {
-	// begun is when the first of it was read; only scan sets it.
+// loadProgress holds the rows of a cell's jobs that have been read so far. After a failure, a part
+// is read on from where it stopped, and completed parts are not read again.
+type loadProgress struct {
+	// begun is when the first row was read. Only scan sets it.
 	begun      time.Time
-	tries      int
+	attempts   int
 	specs      [len(specParts)]rows.Reading
 	records    rows.Reading
 	workerList rows.Reading
 }
 
-// jobs returns the jobs of all parts.
-func (r *reading) jobs() []rows.Row {
+// jobs returns the specifications of all parts.
+func (r *loadProgress) jobs() []rows.Row {
 	var all []rows.Row
 	for i := range r.specs {
 		all = append(all, r.specs[i].Rows...)
@@ -48,8 +47,8 @@
 	return all
 }
 
-// ver returns a version that is not above that of any part of the jobs.
-func (r *reading) ver() uint64 {
+// minVer returns the lowest version at which any part was read.
+func (r *loadProgress) minVer() uint64 {
 	var vers []uint64
 	for i := range r.specs {
 		vers = append(vers, r.specs[i].Ver)
@@ -57,52 +56,53 @@
 	return slices.Min(vers)
 }
 
-// readSpecs reads the jobs of all parts.
-func (d *Driver) readSpecs(ctx context.Context, r *reading) error {
+// readSpecs reads the job specifications of all parts.
+func (d *Driver) readSpecs(ctx context.Context, r *loadProgress) error {
 	reads, ctx := errgroup.WithContext(ctx)
-	if r.tries++; r.tries > 1 {
-		reads.SetLimit(loadAgain)
+	if r.attempts++; r.attempts > 1 {
+		reads.SetLimit(retryParallelism)
 	}
 	for i, name := range specParts {
 		reads.Go(func() error {
-			return r.specs[i].Read(ctx, d.Store, rows.Range{Table: TableSpecs, Part: string(name), Limit: loadPage})
+			return r.specs[i].Read(ctx, d.Store, rows.Range{Table: TableSpecs, Part: string(name), Limit: rowsPerPage})
 		})
 	}
 	return reads.Wait()
 }
 
-// readRest reads what the cell's own part holds.
-func (d *Driver) readRest(ctx context.Context, r *reading) error {
+// readCellPart reads the cell's own part: the records and the worker list.
+func (d *Driver) readCellPart(ctx context.Context, r *loadProgress) error {
 	reads, ctx := errgroup.WithContext(ctx)
 	reads.Go(func() error {
-		return r.records.Read(ctx, d.Store, rows.Range{Table: TableRecords, Part: d.Name, Limit: loadPage})
+		return r.records.Read(ctx, d.Store, rows.Range{Table: TableRecords, Part: d.Name, Limit: rowsPerPage})
 	})
 	reads.Go(func() error { return r.workerList.Read(ctx, d.Store, d.workerListRange()) })
 	return reads.Wait()
 }
 
-// load reads the jobs of the cell. It reports whether it did before the end.
+// load reads the jobs of the cell, and reports whether it succeeded before the driver was closed or
+// loadTimeout passed.
 func (d *Driver) load() bool {
-	var r reading
+	var r loadProgress
 	begun := clock.Now()
 	for d.ctx.Err() == nil {
 		err := d.readSpecs(d.ctx, &r)
 		if err == nil {
-			err = d.readRest(d.ctx, &r)
+			err = d.readCellPart(d.ctx, &r)
 		}
 		if err == nil {
-			d.scanned = r.ver()
+			d.scannedVer = r.minVer()
 			d.restore(r.jobs(), r.records.Rows, r.records.Bad)
 			d.Heard(d.Succeeded())
 			d.restoreWorkerList(r.workerList.Rows)
 			return true
 		}
 		level.Warn(d.Log).Log("event", "load_failed", "cell", d.Name, "epoch", d.Claim.Epoch(), "took_ms", clock.Since(begun).Milliseconds(), "err", err)
-		if clock.Since(begun) > loadMost && d.Reachable() {
+		if clock.Since(begun) > loadTimeout && d.Reachable() {
 			go d.LoadTimedOut()
 			return false
 		}
-		d.sleep(readRetry)
+		d.sleep(readRetryDelay)
 	}
 	return false
 }
@@ -112,8 +112,8 @@
 	defer d.mu.Unlock()
 	now := clock.Now()
 	byID := make(map[string]*flow.Record, len(records))
-	// What of a job was done is not known without its record. It is left alone, so that
-	// nothing of it runs twice, until the row is put right.
+	// Without its record, what a job has done is unknown. Such a job is not run, so that nothing
+	// runs twice, until the row is repaired.
 	unreadable := make(map[string]bool)
 	for _, b := range bad {
 		unreadable[b.Name] = true
@@ -135,11 +135,11 @@
 			level.Error(d.Log).Log("event", "bad_spec", "job", r.Name, "err", err)
 			continue
 		}
-		if d.runs(spec) && !unreadable[r.Name] {
+		if d.runsTasksOf(spec) && !unreadable[r.Name] {
 			jobs = append(jobs, spec)
 		}
 	}
-	// Which jobs are within the share of their client account goes by their order.
+	// The order of jobs decides which are within the share of their client account.
 	slices.SortStableFunc(jobs, func(a, b *flow.Spec) int { return cmp.Compare(a.AcceptedMS, b.AcceptedMS) })
 	for _, spec := range jobs {
 		rec := byID[spec.ID]
@@ -150,9 +150,9 @@
 		}
 	}
 	for id := range byID {
-		// The job itself was removed when its end was archived.
+		// The specification was removed when the job's end was archived.
 		if !d.cell.Known(id) {
-			d.stale = append(d.stale, id)
+			d.staleRecords = append(d.staleRecords, id)
 		}
 	}
 	d.loaded = true
--- a/driver/loss.go
+++ b/driver/loss.go
@@ -14,40 +14,40 @@
 	"dewpass.org/internal/clock"
 )
 
-// forget ends a link. The lock is held.
-func (d *Driver) forget(l *link, how cell.Loss, now time.Time) {
+// dropLink ends a link and removes its worker from the cell. The lock is held.
+func (d *Driver) dropLink(l *link, how cell.Loss, now time.Time) {
 	d.cell.Forget(l.id, how, now)
 	l.cancel()
 	delete(d.links, l.id)
 	d.workerListChanged = true
-	notify(d.wake)
+	notify(d.placeNow)
 }
 
-// workerDead takes in that a life of a worker is surely over.
+// workerDead handles the certain end of a worker's life.
 func (d *Driver) workerDead(id string, how cell.Loss) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if l := d.links[id]; l != nil {
-		d.dead(l, how)
+		d.dropDeadWorker(l, how)
 	}
 }
 
-// dead ends the link to a worker whose life is surely over. The lock is held.
-func (d *Driver) dead(l *link, how cell.Loss) {
+// dropDeadWorker ends the link to a worker whose life has certainly ended. The lock is held.
+func (d *Driver) dropDeadWorker(l *link, how cell.Loss) {
 	level.Info(d.Log).Log("event", "worker_dead", "worker", l.id, "why", string(how))
-	d.forget(l, how, clock.Now())
+	d.dropLink(l, how, clock.Now())
 }
 
-// hungUp reports whether a call failed as its connection was ended or refused by the other
-// side.
-func hungUp(err error) bool {
+// closedByPeer reports whether a call failed because the other side closed or refused the
+// connection.
+func closedByPeer(err error) bool {
 	return errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) ||
 		errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.ECONNREFUSED)
 }
 
-// lossBy returns what the failure of the last hold says of a worker whose leases are over. A
-// refusal comes from its machine: no process is there.
-func lossBy(err error) cell.Loss {
+// lossCause returns the cause of loss, by the error of the last hold, of a worker whose leases have
+// expired. A refused connection comes from the worker's machine: no process listens there.
+func lossCause(err error) cell.Loss {
 	if errors.Is(err, syscall.ECONNREFUSED) {
 		return cell.LossRefused
 	}
--- a/driver/ports.go
+++ b/driver/ports.go
@@ -10,16 +10,16 @@
 	"dewpass.org/flow"
 )
 
-// Target says which life of which worker an order is for, under which fence.
+// Target identifies the life of a worker that an order is for, and the fence of the order.
 type Target struct {
-	// Worker is the id of the life; another one at the address refuses.
+	// Worker is the id of the worker. Another worker at the address refuses the order.
 	Worker string
 	Addr   string
-	// Fence must not be below any that the worker has seen.
+	// Fence is the fencing token. A worker refuses one that is below the highest that it has seen.
 	Fence uint64
 }
 
-// StartOrder tells a worker to start a run.
+// StartOrder tells a worker to start a run of a task.
 type StartOrder struct {
 	Target
 	Task   flow.TaskID
@@ -27,7 +27,7 @@
 	Text   string
 	Saved  string
 	Ticket string
-	// UntilMS ends the lease, on the worker's clock, in milliseconds.
+	// UntilMS is when the run's lease ends, by the worker's clock in milliseconds.
 	UntilMS int64
 }
 
@@ -44,7 +44,7 @@
 	Run  int
 }
 
-// PaceOrder tells a worker how fast a run may work, in hundredths.
+// PaceOrder limits the speed of a run to a percentage.
 type PaceOrder struct {
 	Target
 	Task    flow.TaskID
@@ -52,18 +52,20 @@
 	Percent int
 }
 
-// HoldOrder renews the lease of all that runs on a worker and asks for its
-// lists.
+// HoldOrder renews the leases of all runs on a worker and asks which runs are running and which
+// have ended.
 type HoldOrder struct {
 	Target
-	// Observed is the number of the last end that the worker may forget.
+	// Observed is the number of the last end that is persisted: the worker may forget ends up to
+	// it.
 	Observed int
-	// UntilMS ends the lease, on the worker's clock; 0 leaves it as it is.
+	// UntilMS is when the leases end, by the worker's clock in milliseconds; 0 leaves them
+	// unchanged.
 	UntilMS int64
-	// Wait is how long the worker may wait for an end before it answers.
+	// Wait is how long the worker may wait for a run to end before it answers.
 	Wait time.Duration
-	// Brief says that only the ends are wanted, if there are some. Only carriers go by it:
-	// a worker lists everything.
+	// Brief asks for the ended runs only, if there are any. Only carriers act on it: a worker
+	// always lists everything.
 	Brief bool
 }
 
@@ -71,13 +73,13 @@
 type HoldAnswer struct {
 	ClockMS int64
 	Lists   cell.Lists
-	// Brief says that what runs is left out of the lists.
+	// Brief says that the running runs are omitted.
 	Brief bool
 }
 
-// Workers gives orders to workers. Errors are of kind Fenced (the worker has
-// seen a higher fence), NotFound (another life is at the address), Unavailable
-// (surely not received) or Lost (perhaps received).
+// Workers sends orders to workers. Errors are of kind Fenced (the worker has seen a higher fence),
+// NotFound (another worker or life is at the address), Unavailable (certainly not received) or Lost
+// (possibly received).
 type Workers interface {
 	Start(ctx context.Context, o StartOrder) (StartAnswer, error)
 	Stop(ctx context.Context, o StopOrder) error
@@ -85,23 +87,23 @@
 	Hold(ctx context.Context, o HoldOrder) (HoldAnswer, error)
 }
 
-// Entry is a worker as the directory has it.
+// Entry is a worker's entry in the directory.
 type Entry struct {
 	cell.Worker
-	// Ver is the version of the entry; a lower one is older.
+	// Ver is the version of the entry. Entries with a lower version are older.
 	Ver uint64
-	// Bad says why the entry names no worker to use, "" if it does. Only its id and version
-	// count then.
+	// Bad says why the entry is invalid, "" if it is valid. Only the id and version of an invalid
+	// entry are used.
 	Bad string
 }
 
 // Directory lists the workers.
 type Directory interface {
-	// All returns every worker there is.
+	// All returns the entries of all workers.
 	All(ctx context.Context) ([]Entry, error)
 }
 
-// Tickets is the answer to a question to the policy.
+// Tickets is the policy's answer.
 type Tickets struct {
 	Rows  []cell.Ticket
 	Valid time.Duration
@@ -109,6 +111,6 @@
 
 // Advisor asks the policy which workers may run a step.
 type Advisor interface {
-	// Advise asks. Its error is of kind RateLimited if too many wait already.
+	// Advise returns an error of kind RateLimited if too many requests are waiting already.
 	Advise(ctx context.Context, step flow.StepID, workers []string) (Tickets, error)
 }
--- a/driver/scan.go
+++ b/driver/scan.go
@@ -14,76 +14,76 @@
 	"dewpass.org/rows"
 )
 
-// scanEvery spaces the looks for jobs that nobody told this owner of.
-const scanEvery = 1200 * time.Millisecond
+// scanInterval is the interval between searches for jobs of which this owner was not told.
+const scanInterval = 1200 * time.Millisecond
 
-// feedMost is how many changes the store tells at once: where there are as many there may be more.
-const feedMost = 500
+// maxFeedRows is how many changes the store returns at once. A full page means that there may be
+// more.
+const maxFeedRows = 500
 
-// Adopt takes in a job that the store took at version ver. One that the store had
-// when this owner read its jobs, and that is not here, is over. The error is of
-// kind Unavailable if the cell is not read yet.
+// Adopt adds a job that the store accepted at version ver. A job that was in the store when this
+// owner read its jobs and that the cell does not have has ended, and is ignored. The error is of
+// kind Unavailable if the cell is not loaded yet.
 func (d *Driver) Adopt(spec *flow.Spec, ver uint64) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if !d.loaded || d.frozen {
-		return kind.New(kind.Unavailable, "the cell is not read yet")
+		return kind.New(kind.Unavailable, "the jobs of the cell are not loaded yet")
 	}
 	if d.isNew(spec.ID, ver) {
-		d.adopt(spec, clock.Now())
-		notify(d.wake)
+		d.addJob(spec, clock.Now())
+		notify(d.placeNow)
 	}
 	return nil
 }
 
-// isNew reports whether a job came after this owner read its jobs, and is not
-// here. The lock is held.
+// isNew reports whether a job was accepted after this owner read its jobs and is not in the cell.
+// The lock is held.
 func (d *Driver) isNew(id string, ver uint64) bool {
-	return ver > d.scanned && !d.cell.Known(id)
+	return ver > d.scannedVer && !d.cell.Known(id)
 }
 
-// adopt adds a job that no former owner can have started. The lock is held.
-func (d *Driver) adopt(spec *flow.Spec, now time.Time) {
+// addJob adds a job that no former owner can have started. The lock is held.
+func (d *Driver) addJob(spec *flow.Spec, now time.Time) {
 	d.cell.Submit(spec, arrivedAt(spec, now), now)
 	d.cell.Keep(spec.ID)
 }
 
-// arrivedAt returns when a job was accepted, by this instance's steady clock.
+// arrivedAt returns when a job was accepted, by this instance's monotonic clock.
 func arrivedAt(spec *flow.Spec, now time.Time) time.Time {
 	age := max(clock.Wall().UnixMilli()-spec.AcceptedMS, 0)
 	return now.Add(-time.Duration(age) * time.Millisecond)
 }
 
-// scan finds jobs that the store has taken and that nobody told this owner of.
+// scan finds jobs that the store has accepted and of which this owner was not told.
 func (d *Driver) scan() {
-	ver, heard := d.scanned, clock.Now()
-	// What was read of all jobs is kept over a failure: over a thin link the next try
-	// would fail as the last one did.
-	var all reading
+	ver, readAt := d.scannedVer, clock.Now()
+	// Progress is kept after a failure: over a slow link the next full attempt would fail like the
+	// last one.
+	var progress loadProgress
 	for d.ctx.Err() == nil {
-		d.sleep(scanEvery)
-		if d.outdated(heard) {
+		d.sleep(scanInterval)
+		if d.isOutdated(readAt) {
 			ver = 0
 		}
 		if ver == 0 {
-			if d.outdated(all.begun) {
-				all = reading{begun: clock.Now()}
+			if d.isOutdated(progress.begun) {
+				progress = loadProgress{begun: clock.Now()}
 			}
-			if err := d.readSpecs(d.ctx, &all); err != nil {
+			if err := d.readSpecs(d.ctx, &progress); err != nil {
 				d.logScan(err)
 				continue
 			}
-			d.found(all.jobs())
-			d.jobsRead(all.begun)
-			ver, heard, all = all.ver(), all.begun, reading{}
+			d.addFound(progress.jobs())
+			d.markJobsRead(progress.begun)
+			ver, readAt, progress = progress.minVer(), progress.begun, loadProgress{}
 			continue
 		}
 		begun := clock.Now()
-		// The homes of jobs are a tenth of what the jobs are, most of which this owner has
-		// been told of.
+		// Home rows take a tenth of the size of the jobs, most of which this owner already knows.
 		page, err := d.Store.Feed(d.ctx, rows.Since{Table: TableHomes, Ver: ver})
 		if err == nil && !page.Forgotten {
-			err = d.findMissed(page.Rows)
+			err = d.readMissed(page.Rows)
 		}
 		switch {
 		case err != nil:
@@ -91,48 +91,48 @@
 		case page.Forgotten:
 			ver = 0
 		default:
-			ver, heard = max(ver, page.Ver), begun
-			if len(page.Rows) < feedMost {
-				d.jobsRead(begun)
+			ver, readAt = max(ver, page.Ver), begun
+			if len(page.Rows) < maxFeedRows {
+				d.markJobsRead(begun)
 			}
 		}
 	}
 }
 
-// jobsRead takes in that all jobs are known that the store had at a time.
-func (d *Driver) jobsRead(at time.Time) {
+// markJobsRead notes that all jobs are known that the store had at the given time.
+func (d *Driver) markJobsRead(at time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.cell.JobsRead(at)
-	notify(d.write)
+	notify(d.commitNow)
 }
 
-// findMissed reads the jobs of this cell among changed homes that are not known here.
-func (d *Driver) findMissed(homes []rows.Row) error {
+// readMissed reads the jobs of this cell that are in changed home rows but not known here.
+func (d *Driver) readMissed(homes []rows.Row) error {
 	for _, home := range homes {
-		if home.Gone || !slices.Contains(HomeCells(home.Value), d.Name) || !d.missed(home.Name, home.Ver) {
+		if home.Gone || !slices.Contains(HomeCells(home.Value), d.Name) || !d.isMissed(home.Name, home.Ver) {
 			continue
 		}
 		page, err := d.Store.Get(d.ctx, rows.Only(SpecKey(home.Name)))
 		if err != nil {
 			return err
 		}
-		// The row of a job that is over is gone.
-		d.found(page.Rows)
+		// The specification of an ended job is gone.
+		d.addFound(page.Rows)
 	}
 	return nil
 }
 
-// missed reports whether a job came after this owner read its jobs, and is not here.
-func (d *Driver) missed(id string, ver uint64) bool {
+// isMissed is isNew for callers that do not hold the lock.
+func (d *Driver) isMissed(id string, ver uint64) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.isNew(id, ver)
 }
 
-// outdated reports whether what was read of the jobs at a time may hold some that have
-// ended and been forgotten since: those would be taken for new.
-func (d *Driver) outdated(read time.Time) bool { return clock.Since(read) > d.Keep/2 }
+// isOutdated reports whether jobs read at the given time may include some that have since ended and
+// been forgotten: those would be taken for new.
+func (d *Driver) isOutdated(read time.Time) bool { return clock.Since(read) > d.Keep/2 }
 
 func (d *Driver) logScan(err error) {
 	if d.ctx.Err() == nil {
@@ -140,9 +140,9 @@
 	}
 }
 
-// found takes in the jobs among changed rows, in the order of the changes. A job whose
-// row is there is not over, however long ago it was accepted.
-func (d *Driver) found(all []rows.Row) {
+// addFound adds the jobs among changed rows, in the order of the changes. A job whose row still
+// exists has not ended, however long ago it was accepted.
+func (d *Driver) addFound(all []rows.Row) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	gone := make(map[string]uint64)
@@ -161,11 +161,11 @@
 			level.Error(d.Log).Log("event", "bad_spec", "job", r.Name, "err", err)
 			continue
 		}
-		if !d.runs(spec) {
+		if !d.runsTasksOf(spec) {
 			continue
 		}
 		level.Info(d.Log).Log("event", "job_found", "job", r.Name, "version", r.Ver)
-		d.adopt(spec, now)
+		d.addJob(spec, now)
 	}
-	notify(d.wake)
+	notify(d.placeNow)
 }
--- a/driver/seek_test.go
+++ b/driver/seek_test.go
@@ -15,29 +15,29 @@
 	"dewpass.org/internal/clock"
 )
 
-// lostLater is a worker that is cut off when it is told so, and runs what it is given until then.
-type lostLater struct {
-	*lives
+// cutOffWorker is a worker that can be cut off. Its runs do not end.
+type cutOffWorker struct {
+	*restartingWorker
 	cut atomic.Bool
 }
 
-func (w *lostLater) Start(context.Context, StartOrder) (StartAnswer, error) {
+func (w *cutOffWorker) Start(context.Context, StartOrder) (StartAnswer, error) {
 	return StartAnswer{ClockMS: w.clock(), Outcome: cell.Accepted}, nil
 }
 
-func (w *lostLater) Hold(ctx context.Context, o HoldOrder) (HoldAnswer, error) {
+func (w *cutOffWorker) Hold(ctx context.Context, o HoldOrder) (HoldAnswer, error) {
 	if w.cut.Load() {
-		return HoldAnswer{}, errAway
+		return HoldAnswer{}, errUnreachable
 	}
 	o.Wait = min(o.Wait, 20*time.Millisecond)
-	a, err := w.lives.Hold(ctx, o)
+	a, err := w.restartingWorker.Hold(ctx, o)
 	a.Lists.Cut = true
 	return a, err
 }
 
-var _ = ginkgo.Describe("a task that lasts on a worker that is cut off", func() {
-	ginkgo.It("has the policy asked before the leases there are over", func(ctx context.Context) {
-		w := &lostLater{lives: newLives()}
+var _ = ginkgo.Describe("a lasting task on a worker that is cut off", func() {
+	ginkgo.It("makes the owner ask the policy before the leases there expire", func(ctx context.Context) {
+		w := &cutOffWorker{restartingWorker: newRestartingWorker()}
 		d := newDriver(ctx, newTable(), func() {})
 		d.Lease = 4 * time.Second
 		d.Workers, d.Directory = w, w
@@ -57,7 +57,7 @@
 		Eventually(func() bool { return d.Load().Attached == 0 }, "3s").Should(BeTrue())
 		d.mu.Lock()
 		defer d.mu.Unlock()
-		over := d.links["w"].over
+		over := d.links["w"].leasesEnd
 		d.cell.Heard(cell.Worker{ID: "x", Addr: "x", Pool: "p", Hall: "h"}, clock.Now())
 		d.cell.Attached("x", cell.Lists{}, clock.Now())
 		before := asked.Load()
--- a/driver/share.go
+++ b/driver/share.go
@@ -14,44 +14,45 @@
 	"dewpass.org/rows"
 )
 
-// A job that several cells share belongs to one of them, its home, which writes its end. The
-// others run their tasks, each with a record of its own, until the job's row is gone: it goes
-// with the end.
+// A job that several cells share belongs to one of them, its home cell, which writes its end. The
+// other cells run their tasks, each with its own record, until the job's specification is removed,
+// which happens when the end is written.
 
-// sharesEvery spaces the looks whether jobs of other cells are over. Whoever cancels a job tells
-// all of its cells; this is for the case that it is lost on the way.
-const sharesEvery = 3 * time.Second
+// sharesInterval is the interval between checks whether jobs of other cells have ended. A
+// cancellation is sent to all cells of the job; the check covers the case that this message is
+// lost.
+const sharesInterval = 3 * time.Second
 
-// HomeValue returns what the row at HomeKey says of a job: its cells, its own first.
+// HomeValue returns the content of the row at HomeKey: the cells of a job, the home cell first.
 func HomeValue(spec *flow.Spec) []byte { return []byte(strings.Join(spec.Cells(), " ")) }
 
-// HomeCells reads such a row.
+// HomeCells returns the cells in the value of a home row.
 func HomeCells(value []byte) []string { return strings.Fields(string(value)) }
 
-// runs reports whether the cell runs tasks of a job.
-func (d *Driver) runs(spec *flow.Spec) bool {
+// runsTasksOf reports whether this cell runs tasks of a job.
+func (d *Driver) runsTasksOf(spec *flow.Spec) bool {
 	_, ok := spec.Share(d.Name)
 	return ok
 }
 
-// followShares has this cell's part of jobs of other cells end with them.
-func (d *Driver) followShares() {
+// watchShares ends this cell's part of other cells' jobs when those jobs have ended.
+func (d *Driver) watchShares() {
 	for d.ctx.Err() == nil {
-		d.sleep(sharesEvery)
+		d.sleep(sharesInterval)
 		d.mu.Lock()
 		foreign := d.cell.Foreign()
 		d.mu.Unlock()
 		for _, id := range foreign {
 			page, err := d.Store.Get(d.ctx, rows.Only(SpecKey(id)))
 			if err == nil && page.One().Ver == 0 {
-				d.shareOver(id)
+				d.endShare(id)
 			}
 		}
 	}
 }
 
-// shareOver takes in that a job of another cell is over.
-func (d *Driver) shareOver(id string) {
+// endShare ends this cell's part of a job of another cell.
+func (d *Driver) endShare(id string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if s, _ := d.cell.State(id); !s.Final() {
@@ -59,19 +60,19 @@
 	}
 	d.cell.Cancel(id, clock.Now())
 	d.cell.Archived(id)
-	notify(d.wake)
-	notify(d.write)
+	notify(d.placeNow)
+	notify(d.commitNow)
 }
 
-// Cells returns the cells that run tasks of a job that this one has, its own first.
+// Cells returns the cells that run tasks of a job that this cell has, the home cell first.
 func (d *Driver) Cells(id string) []string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.cell.Cells(id)
 }
 
-// own returns those of the jobs that this cell writes the ends of.
-func own(all []cell.Over) []cell.Over {
+// ownJobs returns the jobs whose end this cell writes.
+func ownJobs(all []cell.Over) []cell.Over {
 	var out []cell.Over
 	for _, o := range all {
 		if !o.Foreign {
--- a/driver/share_test.go
+++ b/driver/share_test.go
@@ -15,18 +15,18 @@
 
 var _ = ginkgo.Describe("a job that several cells share", func() {
 	spec := &flow.Spec{ID: "1", Cell: "home", Shares: []string{"c"}, Queue: "q", Steps: []flow.Step{{Count: 2, Lasting: true}}, AcceptedMS: time.Now().UnixMilli()}
-	put := func(t *table) {
+	put := func(t *memStore) {
 		_, err := t.Tx(context.Background(), rows.Tx{Put: []rows.Row{
 			{Key: SpecKey("1"), Value: flow.Encode(spec)}, {Key: HomeKey("1"), Value: HomeValue(spec)},
 		}})
 		Expect(err).NotTo(HaveOccurred())
 	}
-	remove := func(t *table, k rows.Key) {
+	remove := func(t *memStore, k rows.Key) {
 		_, err := t.Tx(context.Background(), rows.Tx{Remove: []rows.Key{k}})
 		Expect(err).NotTo(HaveOccurred())
 	}
 
-	ginkgo.It("is read by the owner of each, and by no other", func(ctx context.Context) {
+	ginkgo.It("is read by the owners of these cells and by no other", func(ctx context.Context) {
 		t := newTable()
 		put(t)
 		d := newDriver(ctx, t, func() {})
@@ -39,16 +39,16 @@
 		Expect(other.cell.Known("1")).To(BeFalse())
 	})
 
-	ginkgo.It("is found by an owner that nobody told", func(ctx context.Context) {
+	ginkgo.It("is found by an owner to which it was not reported", func(ctx context.Context) {
 		t := newTable()
 		d := newDriver(ctx, t, func() {})
 		Expect(d.load()).To(BeTrue())
 		put(t)
-		Expect(d.findMissed([]rows.Row{{Key: HomeKey("1"), Value: HomeValue(spec), Ver: t.ver}})).To(Succeed())
+		Expect(d.readMissed([]rows.Row{{Key: HomeKey("1"), Value: HomeValue(spec), Ver: t.ver}})).To(Succeed())
 		Expect(d.cell.Known("1")).To(BeTrue())
 	})
 
-	ginkgo.It("keeps the record of a part that was cancelled until the job's end is kept", func(ctx context.Context) {
+	ginkgo.It("keeps the record of a cancelled part until the job's end is persisted", func(ctx context.Context) {
 		t := newTable()
 		put(t)
 		d := newDriver(ctx, t, func() {})
@@ -57,17 +57,17 @@
 		defer d.Close()
 		Eventually(d.Ready).Should(BeTrue())
 		Expect(d.Cancel(ctx, "1")).To(Succeed())
-		// A next owner would start the tasks again if it found the job and no record.
-		Consistently(func() bool { return t.has(RecordKey("c", "1")) }, sharesEvery+retireAfter+time.Second).Should(BeTrue())
-		Expect(t.has(EndedKey("1"))).To(BeFalse(), "the end is for its home to write")
+		// A next owner would start the tasks again if it found the job without a record.
+		Consistently(func() bool { return t.has(RecordKey("c", "1")) }, sharesInterval+retireAfter+time.Second).Should(BeTrue())
+		Expect(t.has(EndedKey("1"))).To(BeFalse(), "the home cell writes the end")
 		Expect(t.has(SpecKey("1"))).To(BeTrue())
 		remove(t, SpecKey("1"))
-		Eventually(func() bool { return t.has(RecordKey("c", "1")) }, 2*sharesEvery+retireAfter).Should(BeFalse())
+		Eventually(func() bool { return t.has(RecordKey("c", "1")) }, 2*sharesInterval+retireAfter).Should(BeFalse())
 		Eventually(func() bool { d.mu.Lock(); defer d.mu.Unlock(); return d.cell.Known("1") }, "3s").Should(BeFalse())
-		Expect(t.has(HomeKey("1"))).To(BeTrue(), "whoever asks is told by its home for how long")
+		Expect(t.has(HomeKey("1"))).To(BeTrue(), "the home cell decides for how long clients can query the job")
 	})
 
-	ginkgo.It("ends in a cell that was not told of its end", func(ctx context.Context) {
+	ginkgo.It("ends in a cell that was not notified of the end", func(ctx context.Context) {
 		t := newTable()
 		put(t)
 		d := newDriver(ctx, t, func() {})
@@ -75,8 +75,8 @@
 		defer d.Close()
 		Eventually(d.Ready).Should(BeTrue())
 		state := func() flow.State { s, _ := d.State("1"); return s }
-		Consistently(state, sharesEvery+time.Second).Should(Equal(flow.Pending))
+		Consistently(state, sharesInterval+time.Second).Should(Equal(flow.Pending))
 		remove(t, SpecKey("1"))
-		Eventually(state, 2*sharesEvery).Should(Equal(flow.Canceled))
+		Eventually(state, 2*sharesInterval).Should(Equal(flow.Canceled))
 	})
 })
--- a/driver/suspend_test.go
+++ b/driver/suspend_test.go
@@ -20,19 +20,20 @@
 	"dewpass.org/sched"
 )
 
-// An owner whose machine had been suspended for 3 s gave orders by a lease that was long over: the
-// steady clock does not count a suspension, and all times were read from that.
+// Guards against an owner that resumes after a suspension of 3 s and sends orders under a lease
+// that has long expired: the monotonic clock, which all times were read from, does not advance
+// during a suspension.
 
-// obeying are workers that take every order, and a directory of one.
-type obeying struct{ starts atomic.Int32 }
+// obedientWorker implements Workers, accepting every order, and a directory of one worker.
+type obedientWorker struct{ starts atomic.Int32 }
 
-func (w *obeying) Start(context.Context, StartOrder) (StartAnswer, error) {
+func (w *obedientWorker) Start(context.Context, StartOrder) (StartAnswer, error) {
 	w.starts.Add(1)
 	return StartAnswer{ClockMS: 1, Outcome: cell.Accepted}, nil
 }
-func (w *obeying) Stop(context.Context, StopOrder) error { return nil }
-func (w *obeying) Pace(context.Context, PaceOrder) error { return nil }
-func (w *obeying) Hold(ctx context.Context, o HoldOrder) (HoldAnswer, error) {
+func (w *obedientWorker) Stop(context.Context, StopOrder) error { return nil }
+func (w *obedientWorker) Pace(context.Context, PaceOrder) error { return nil }
+func (w *obedientWorker) Hold(ctx context.Context, o HoldOrder) (HoldAnswer, error) {
 	select {
 	case <-time.After(o.Wait):
 	case <-ctx.Done():
@@ -40,16 +41,16 @@
 	return HoldAnswer{ClockMS: 1, Brief: o.Brief}, ctx.Err()
 }
 
-func (w *obeying) All(context.Context) ([]Entry, error) {
+func (w *obedientWorker) All(context.Context) ([]Entry, error) {
 	room := sched.Vec{sched.Milli: 1000, sched.MiB: 1000}
 	return []Entry{{Ver: 1, Worker: cell.Worker{ID: "w", Addr: "w", Pool: "p", Hall: "h", Room: room}}}, nil
 }
 
 var _ = ginkgo.Describe("an owner whose machine was suspended", func() {
-	// asleep starts an owner with a worker, and then lets its machine sleep while another
-	// instance takes the cell or not, and a job is waiting when it wakes.
-	asleep := func(ctx context.Context, takenOver bool, d time.Duration) (*obeying, *atomic.Bool) {
-		t, w := newTable(), &obeying{}
+	// afterSuspension starts an owner with a worker and suspends its machine, while another
+	// instance takes the cell if takenOver is set. A job is waiting when the machine resumes.
+	afterSuspension := func(ctx context.Context, takenOver bool, d time.Duration) (*obedientWorker, *atomic.Bool) {
+		t, w := newTable(), &obedientWorker{}
 		lost := new(atomic.Bool)
 		o := newDriver(ctx, t, func() {})
 		o.Workers, o.Directory, o.HeardByAll = w, w, func() bool { return false }
@@ -71,14 +72,14 @@
 	}
 
 	for _, d := range []time.Duration{3 * time.Second, 30 * time.Second} {
-		ginkgo.It("gives no order by a lease that another has, after "+d.String(), func(ctx context.Context) {
-			w, lost := asleep(ctx, true, d)
+		ginkgo.It("sends no orders under a lease that another instance holds, after "+d.String(), func(ctx context.Context) {
+			w, lost := afterSuspension(ctx, true, d)
 			Eventually(lost.Load, "3s").Should(BeTrue())
 			Consistently(w.starts.Load, "300ms").Should(BeZero())
 		})
 
-		ginkgo.It("goes on once it has seen that it still has its lease, after "+d.String(), func(ctx context.Context) {
-			w, lost := asleep(ctx, false, d)
+		ginkgo.It("goes on once it has confirmed that it still holds its lease, after "+d.String(), func(ctx context.Context) {
+			w, lost := afterSuspension(ctx, false, d)
 			Eventually(w.starts.Load, "5s").Should(BeNumerically("==", 1))
 			Expect(lost.Load()).To(BeFalse())
 		})
--- a/driver/tidy.go
+++ b/driver/tidy.go
@@ -13,64 +13,63 @@
 )
 
 const (
-	// retireAfter is how long a job is kept whole after its end.
+	// retireAfter is how long a job's full state and record are kept after its end.
 	retireAfter = time.Second
-	// tidyEvery spaces the looks for jobs that are over.
-	tidyEvery = 500 * time.Millisecond
-	// sweepEvery spaces the readings of all jobs that are over, for those of
-	// former owners.
-	sweepEvery = 10 * time.Minute
-	// sweepSlack is by how much instances may disagree on the time of day, by which an
-	// end that another owner archived is told to be old. A minute is far beyond what
-	// synchronised clocks show, and costs only rows that stay a little longer.
-	sweepSlack = time.Minute
-	// archiveAtOnce bounds the jobs of a transaction, of two entries each.
-	archiveAtOnce = 40
+	// housekeepInterval is the interval between removals of ended jobs.
+	housekeepInterval = 500 * time.Millisecond
+	// sweepInterval is the interval between reads of all ended jobs, which find those of former
+	// owners.
+	sweepInterval = 10 * time.Minute
+	// maxClockSkew is the assumed difference between the wall clocks of instances. The age of an
+	// end that another owner archived is computed by wall clocks. A minute is far more than
+	// synchronised clocks differ, and only makes rows stay a little longer.
+	maxClockSkew = time.Minute
+	// maxArchiveBatch limits the jobs in a transaction; each takes two entries.
+	maxArchiveBatch = 40
 )
 
-// archives are the ends of jobs on their way to the parts of their ids. They do not
-// go with the group commits: a part of the store may be silent alone, and an end
-// that is written in another one is one that clients can be shown.
+// archives are ends of jobs to be written to the parts of the jobs' ids. They are not part of the
+// group commits: a single part of the store may be down, and clients can be shown an end that was
+// written to another one.
 type archives struct {
 	waiting map[string][]archive
-	// busy says of each part that a write is under way.
-	busy map[string]bool
+	// writing holds the parts to which a write is in flight.
+	writing map[string]bool
 }
 
-// archive is what is done with the rows of a job that is over.
+// archive is a change to the rows of an ended job.
 type archive struct {
 	id    string
 	state flow.State
-	// forget has the last rows removed.
-	forget bool
+	// removeLast removes the last rows of the job instead of writing its end.
+	removeLast bool
 }
 
-// add has something written.
+// add queues a change.
 func (a *archives) add(x archive) {
 	if a.waiting == nil {
-		a.waiting, a.busy = make(map[string][]archive), make(map[string]bool)
+		a.waiting, a.writing = make(map[string][]archive), make(map[string]bool)
 	}
 	a.waiting[partOf(x.id)] = append(a.waiting[partOf(x.id)], x)
 }
 
-// take takes what is to be written in a part, nothing while a write is under way
-// there.
+// take returns the next batch for a part, nothing while a write to that part is in flight.
 func (a *archives) take(part string) []archive {
-	if a.busy[part] {
+	if a.writing[part] {
 		return nil
 	}
-	n := min(len(a.waiting[part]), archiveAtOnce)
+	n := min(len(a.waiting[part]), maxArchiveBatch)
 	taken := a.waiting[part][:n:n]
 	a.waiting[part] = a.waiting[part][n:]
-	a.busy[part] = n > 0
+	a.writing[part] = n > 0
 	return taken
 }
 
-// tx returns the transaction of some archives of one part.
-func (d *Driver) tx(batch []archive, wall time.Time) rows.Tx {
+// archiveTx returns the transaction for changes to one part.
+func (d *Driver) archiveTx(batch []archive, wall time.Time) rows.Tx {
 	var t rows.Tx
 	for _, x := range batch {
-		if x.forget {
+		if x.removeLast {
 			t.Remove = append(t.Remove, EndedKey(x.id), HomeKey(x.id))
 			continue
 		}
@@ -81,25 +80,25 @@
 	return t
 }
 
-// archiveEnded has the ends of jobs written. That of one that succeeded is written
-// at once; of others only once the record, whose write is bound to the cell lease, is
-// kept: an owner that is none any more may not end a job. The lock is held, and the
-// cell lease valid.
+// archiveEnded queues the ends of jobs. The end of a job that succeeded is written at once. Other
+// ends are written only once the job's record is persisted, since that write is bound to the cell
+// lease and a former owner must not end a job. The lock is held, and the cell lease is valid.
 func (d *Driver) archiveEnded() {
-	d.ended = append(d.ended, own(d.cell.Ended())...)
-	later := d.ended[:0]
-	for _, o := range d.ended {
+	d.unarchived = append(d.unarchived, ownJobs(d.cell.Ended())...)
+	later := d.unarchived[:0]
+	for _, o := range d.unarchived {
 		if s, _ := d.cell.State(o.ID); o.State == flow.Succeeded || s.Final() {
 			d.archives.add(archive{id: o.ID, state: o.State})
 		} else {
 			later = append(later, o)
 		}
 	}
-	d.ended = later
+	d.unarchived = later
 	d.writeArchives()
 }
 
-// writeArchives starts the writes that may be started. The lock is held.
+// writeArchives starts a write for each part that has changes queued and no write in flight. The
+// lock is held.
 func (d *Driver) writeArchives() {
 	for part := range d.archives.waiting {
 		if batch := d.archives.take(part); len(batch) > 0 {
@@ -108,14 +107,14 @@
 	}
 }
 
-// writeArchive writes a batch until the store has taken it.
+// writeArchive writes a batch, retrying until the store accepts it.
 func (d *Driver) writeArchive(part string, batch []archive) {
 	for d.ctx.Err() == nil {
-		res, err := d.Store.Tx(d.ctx, d.tx(batch, clock.Wall()))
+		res, err := d.Store.Tx(d.ctx, d.archiveTx(batch, clock.Wall()))
 		if err == nil && !res.Refused {
 			break
 		}
-		d.sleep(readRetry)
+		d.sleep(readRetryDelay)
 	}
 	if d.ctx.Err() != nil {
 		return
@@ -123,52 +122,53 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, x := range batch {
-		if !x.forget {
+		if !x.removeLast {
 			d.cell.Archived(x.id)
 		}
 	}
-	d.archives.busy[part] = false
-	d.announce()
+	d.archives.writing[part] = false
+	d.signalPersisted()
 	d.writeArchives()
 }
 
-// tidyUp lets the cell forget what is over. The lock is held.
-func (d *Driver) tidyUp(now time.Time) {
+// retireJobs retires jobs that have ended, and forgets those whose retention time is over. The lock
+// is held.
+func (d *Driver) retireJobs(now time.Time) {
 	for _, o := range d.cell.Retire(retireAfter, now) {
-		d.stale = append(d.stale, o.ID)
+		d.staleRecords = append(d.staleRecords, o.ID)
 	}
 	for _, x := range d.cell.Expire(d.Keep, now) {
 		if !x.Foreign {
 			d.forgetEnd(x.ID, x.Age, "kept")
 		}
 	}
-	if len(d.stale) > 0 {
-		notify(d.write)
+	if len(d.staleRecords) > 0 {
+		notify(d.commitNow)
 	}
 }
 
-// forgetEnd has what is left of a job removed: from then on nobody knows it.
+// forgetEnd removes the last rows of a job: from then on it is unknown.
 func (d *Driver) forgetEnd(id string, age time.Duration, why string) {
-	d.archives.add(archive{id: id, forget: true})
+	d.archives.add(archive{id: id, removeLast: true})
 	d.Scope.Counter("jobs_forgotten_total").Inc(1)
 	level.Info(d.Log).Log("event", "job_forgotten", "job", id, "cell", d.Name, "epoch", d.Claim.Epoch(),
 		"over_ms", age.Milliseconds(), "keep_ms", d.Keep.Milliseconds(), "why", why, "last", true)
 }
 
-// sweep removes what is left of jobs that ended under former owners.
+// sweep removes the rows of jobs that ended under former owners.
 func (d *Driver) sweep() {
 	for d.ctx.Err() == nil {
-		d.sleep(sweepEvery)
+		d.sleep(sweepInterval)
 		for _, part := range specParts {
 			all, _, err := rows.All(d.ctx, d.Store, rows.Range{Table: TableEnded, Part: string(part)})
 			if err == nil {
-				d.sweepAll(all, clock.Wall())
+				d.sweepPart(all, clock.Wall())
 			}
 		}
 	}
 }
 
-func (d *Driver) sweepAll(all []rows.Row, wall time.Time) {
+func (d *Driver) sweepPart(all []rows.Row, wall time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, r := range all {
@@ -176,7 +176,7 @@
 		if err != nil || e.Cell != d.Name || d.cell.Known(r.Name) {
 			continue
 		}
-		if age := wall.Sub(time.UnixMilli(e.AtMS)); age > d.Keep+sweepSlack {
+		if age := wall.Sub(time.UnixMilli(e.AtMS)); age > d.Keep+maxClockSkew {
 			d.forgetEnd(r.Name, age, "swept")
 		}
 	}
--- a/driver/unkept.go
+++ b/driver/unkept.go
@@ -8,29 +8,29 @@
 	"dewpass.org/internal/clock"
 )
 
-// unkeptAtOnce bounds the jobs that others are told of at once: as many as end in a second
-// at the design size are told in a few greetings.
-const unkeptAtOnce = 256
+// maxUnsavedSuccesses limits the jobs reported to other instances at once: the jobs that end in a
+// second at the design size take a few messages.
+const maxUnsavedSuccesses = 256
 
-// Unkept returns jobs that have succeeded and that other instances should be told of, as
-// the store has not kept that yet. It returns none while another instance may own the cell.
+// Unkept returns jobs that have succeeded but whose end is not persisted yet, to be reported to
+// other instances. It returns none while another instance may own the cell.
 func (d *Driver) Unkept(now time.Time) []string {
 	if !d.mayOrder(now) {
 		return nil
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.cell.Unkept(unkeptAtOnce, now)
+	return d.cell.Unkept(maxUnsavedSuccesses, now)
 }
 
-// Shared says that another instance knows that these jobs have succeeded.
+// Shared notes that another instance knows that these jobs have succeeded.
 func (d *Driver) Shared(ids []string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.cell.Shared(ids)
 }
 
-// Heard takes in what this instance was told of jobs that succeeded under former owners.
+// Heard applies reports that jobs succeeded under former owners.
 func (d *Driver) Heard(ids []string) {
 	if len(ids) == 0 {
 		return
@@ -38,6 +38,6 @@
 	d.mu.Lock()
 	d.cell.Succeeded(ids, clock.Now())
 	d.mu.Unlock()
-	notify(d.wake)
-	notify(d.write)
+	notify(d.placeNow)
+	notify(d.commitNow)
 }
--- a/driver/watch.go
+++ b/driver/watch.go
@@ -12,66 +12,66 @@
 )
 
 const (
-	// readEvery spaces the readings of the directory: a worker that leaves has
-	// to be known within two seconds.
-	readEvery = 800 * time.Millisecond
-	// A long list is read less often, down to every readMost: it is as long for
-	// each owner of a cell, of which a deployment has one for each readFull workers.
-	readMost  = 2 * time.Second
-	readFull  = 400
-	readRetry = 200 * time.Millisecond
-	// readShare is how many times as long as a reading takes the link the pause after it is:
-	// the list takes at most a tenth of a thin link.
-	readShare = 9
-	// readSilent is how long a reading may bring nothing before another is begun, at first: with
-	// the pause before it and one after it a worker that leaves is still known in two seconds,
-	// though the connection that the reading went by is silent. It doubles with each reading
-	// that fails, up to readSilentMost, as the store may be that slow.
-	readSilent     = 500 * time.Millisecond
-	readSilentMost = 1500 * time.Millisecond
-	// readWhole bounds a reading over the thinnest link.
-	readWhole = time.Minute
-	// entryAge is how old the entry of a worker that leaves may be for an owner that has not
-	// read the list before: workers write theirs every 1.5 s.
-	entryAge = 2 * time.Second
-	// entrySize is about how many bytes a worker's entry takes.
+	// readInterval is the interval between reads of the directory. That a worker leaves must be
+	// known within two seconds.
+	readInterval = 800 * time.Millisecond
+	// Long lists are read less often, down to once in maxReadInterval: every owner of a cell reads
+	// the whole list, and a deployment has about one owner for each workersPerInterval workers.
+	maxReadInterval    = 2 * time.Second
+	workersPerInterval = 400
+	readRetryDelay     = 200 * time.Millisecond
+	// pausePerTransfer is the pause after a read as a multiple of its transfer time, so that the
+	// list takes at most a tenth of a slow link.
+	pausePerTransfer = 9
+	// minReadStall is how long a read may make no progress before it is abandoned. With the delays
+	// before and after it, a worker that leaves is still known within two seconds although the
+	// read's connection has stalled. The limit doubles with each failed read up to maxReadStall,
+	// since the store may be that slow.
+	minReadStall = 500 * time.Millisecond
+	maxReadStall = 1500 * time.Millisecond
+	// maxReadTime limits a whole read, also over the slowest link.
+	maxReadTime = time.Minute
+	// assumedEntryAge is the assumed age of a leaving worker's entry if this owner has not read the
+	// directory before. Workers write their entries every 1.5 s.
+	assumedEntryAge = 2 * time.Second
+	// entrySize is the approximate size of a worker's entry in bytes.
 	entrySize = 420
 )
 
-// readPause returns how long to wait after a reading that brought so many workers, over a link
-// that carries rate bytes a second. How long the reading took does not count: a store that is
-// slow, or reached by a peer alone, says nothing of the link, and a worker that leaves has to be
-// known as soon then.
+// readPause returns how long to wait after a read that returned the given number of workers over a
+// link of rate bytes per second. The duration of the read does not count: it is also long if the
+// store is slow or only reachable through a peer, and a worker that leaves must be noticed just as
+// soon then.
 func readPause(workers, rate int) time.Duration {
-	pause := max(readEvery*time.Duration(workers)/readFull, readEvery)
+	pause := max(readInterval*time.Duration(workers)/workersPerInterval, readInterval)
 	if rate > 0 {
-		pause = max(pause, readShare*time.Duration(workers*entrySize)*time.Second/time.Duration(rate))
+		pause = max(pause, pausePerTransfer*time.Duration(workers*entrySize)*time.Second/time.Duration(rate))
 	}
-	return min(pause, readMost)
+	return min(pause, maxReadInterval)
 }
 
-// watch reads the directory of workers again and again. Its feed would tell of
+// watchDirectory reads the directory of workers at regular intervals. Its change feed would report
 // every heartbeat of every worker.
-func (d *Driver) watch() {
-	silent := readSilent
+func (d *Driver) watchDirectory() {
+	stallLimit := minReadStall
 	for d.ctx.Err() == nil {
 		begun := clock.Now()
-		entries, err := d.readDirectory(silent)
+		entries, err := d.readDirectory(stallLimit)
 		if err != nil {
-			silent = min(2*silent, readSilentMost)
-			d.sleep(readRetry)
+			stallLimit = min(2*stallLimit, maxReadStall)
+			d.sleep(readRetryDelay)
 			continue
 		}
-		silent = readSilent
-		d.readAll(entries)
-		d.lastRead = begun
+		stallLimit = minReadStall
+		d.applyDirectory(entries)
+		d.directoryReadAt = begun
 		d.sleep(readPause(len(entries), d.LinkRate))
 	}
 }
 
-// readDirectory reads the directory, and gives up once it brings nothing for a time.
-func (d *Driver) readDirectory(silent time.Duration) ([]Entry, error) {
-	ctx, cancel := stall.Context(d.ctx, stall.Limits{First: silent, Gap: readSilentMost, Whole: readWhole}, nil)
+// readDirectory reads the directory, and gives up if it makes no progress for the given time.
+func (d *Driver) readDirectory(stallLimit time.Duration) ([]Entry, error) {
+	ctx, cancel := stall.Context(d.ctx, stall.Limits{First: stallLimit, Gap: maxReadStall, Whole: maxReadTime}, nil)
 	defer cancel()
 	return d.Directory.All(ctx)
 }
@@ -83,31 +83,32 @@
 	}
 }
 
-// readAll takes in a whole reading: what it leaves out is missing.
-func (d *Driver) readAll(entries []Entry) {
+// applyDirectory applies a complete read of the directory: workers that it does not contain are
+// missing.
+func (d *Driver) applyDirectory(entries []Entry) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := clock.Now()
-	there := make(map[string]bool, len(entries))
+	present := make(map[string]bool, len(entries))
 	for _, e := range entries {
 		if e.Bad != "" {
-			d.heardBad(&e, now)
+			d.applyInvalidEntry(&e, now)
 			continue
 		}
-		// An id may come back in a rack of another cell.
-		there[e.ID] = d.Mine(e.Rack)
-		d.heard(e, now)
+		// A worker id may reappear in a rack of another cell.
+		present[e.ID] = d.Mine(e.Rack)
+		d.applyEntry(e, now)
 	}
 	for id, link := range d.links {
-		if !there[id] {
-			d.miss(link, now)
+		if !present[id] {
+			d.entryMissing(link, now)
 		}
 	}
-	notify(d.wake)
+	notify(d.placeNow)
 }
 
-// heard takes in an entry. The lock is held.
-func (d *Driver) heard(e Entry, now time.Time) {
+// applyEntry applies the entry of a worker. The lock is held.
+func (d *Driver) applyEntry(e Entry, now time.Time) {
 	if e.Gone || !d.Mine(e.Rack) {
 		return
 	}
@@ -115,92 +116,93 @@
 	if link == nil {
 		level.Debug(d.Log).Log("event", "worker_heard", "worker", e.ID, "version", e.Ver)
 		d.connect(e.ID, e.Addr, e.Hall)
-		d.links[e.ID].ver, d.links[e.ID].by = e.Ver, e.Born
-		d.countRemaining(d.links[e.ID], &e, now)
+		d.links[e.ID].entryVer, d.links[e.ID].writerBorn = e.Ver, e.Born
+		d.adjustRemaining(d.links[e.ID], &e, now)
 		d.cell.Heard(e.Worker, now)
 		return
 	}
-	if e.Ver < link.ver {
+	if e.Ver < link.entryVer {
 		return
 	}
-	if e.Ver > link.ver {
-		link.ver = e.Ver
-		d.heardLife(link, &e)
-		d.countRemaining(link, &e, now)
+	if e.Ver > link.entryVer {
+		link.entryVer = e.Ver
+		d.applyLife(link, &e)
+		d.adjustRemaining(link, &e, now)
 		if e.Draining && !link.draining {
 			level.Info(d.Log).Log("event", "worker_leaves", "worker", e.ID, "version", e.Ver, "remaining_ms", e.Remaining.Milliseconds())
 		}
 		link.draining = e.Draining
 		d.cell.Heard(e.Worker, now)
 	}
-	link.missing = time.Time{}
+	link.missingSince = time.Time{}
 }
 
-// heardLife takes in which life wrote an entry, and where it is. An entry may be of before, so
-// that it alone ends no life: the worker is held anew, and its lists tell. The lock is held.
-func (d *Driver) heardLife(l *link, e *Entry) {
+// applyLife applies which life wrote an entry, and its address. The entry may be older than what is
+// known, so it does not end a life by itself: the worker is attached again, and its answer decides.
+// The lock is held.
+func (d *Driver) applyLife(l *link, e *Entry) {
 	moved := l.addr != e.Addr
 	l.addr = e.Addr
 	if l.hall != e.Hall {
-		l.hall, l.attaching = e.Hall, d.attachingIn(e.Hall)
+		l.hall, l.attachSlots = e.Hall, d.attachSlotsOf(e.Hall)
 	}
-	other := l.by != e.Born
+	other := l.writerBorn != e.Born
 	if other {
-		l.entryWord = entryWord{by: e.Born}
+		l.entryInfo = entryInfo{writerBorn: e.Born}
 	}
-	if moved || (other && e.Born != 0 && l.isAnother(e.Born)) {
+	if moved || (other && e.Born != 0 && l.isOtherLife(e.Born)) {
 		level.Info(d.Log).Log("event", "entry_of_another_life", "worker", l.id, "version", e.Ver, "known", l.born, "born", e.Born, "moved", moved)
-		d.unsure(l.id)
+		d.reattach(l.id)
 	}
 }
 
-// countRemaining puts in place of the time that a worker stays what is left of it by now. It
-// counts from when the worker wrote it, which may be as early as the reading before: a run that
-// ends after its worker has left is not known to have ended, and would run again. The lock is
-// held.
-func (d *Driver) countRemaining(l *link, e *Entry, now time.Time) {
+// adjustRemaining reduces the remaining time in a leaving worker's entry by the entry's age. The
+// entry may have been written just after the previous read. If the time were overestimated, a run
+// could end after its worker has left, its end would not be known, and it would run again. The lock
+// is held.
+func (d *Driver) adjustRemaining(l *link, e *Entry, now time.Time) {
 	if !e.Draining {
-		l.leaves = time.Time{}
+		l.leavesAt = time.Time{}
 		return
 	}
-	written := d.lastRead
+	written := d.directoryReadAt
 	if written.IsZero() {
-		written = now.Add(-entryAge)
+		written = now.Add(-assumedEntryAge)
 	}
-	if at := written.Add(e.Remaining); at.After(l.leaves) {
-		l.leaves = at
+	if at := written.Add(e.Remaining); at.After(l.leavesAt) {
+		l.leavesAt = at
 	}
-	e.Remaining = max(l.leaves.Sub(now), 0)
+	e.Remaining = max(l.leavesAt.Sub(now), 0)
 }
 
-// badLogMost bounds the entries that are remembered as logged.
-const badLogMost = 1000
+// maxLoggedInvalid limits the number of workers remembered in loggedInvalid.
+const maxLoggedInvalid = 1000
 
-// heardBad takes in an entry that cannot be used. A worker that is known by that id is
-// given nothing new from now on. What runs there goes on under its leases: the entry says
-// nothing of that. The lock is held.
-func (d *Driver) heardBad(e *Entry, now time.Time) {
+// applyInvalidEntry handles an invalid entry. A known worker of that id gets no new runs from then
+// on. Its present runs go on under their leases, as the entry says nothing about them. The lock is
+// held.
+func (d *Driver) applyInvalidEntry(e *Entry, now time.Time) {
 	d.Scope.Counter("bad_worker_entries_total").Inc(1)
-	if d.bad == nil || len(d.bad) >= badLogMost {
-		d.bad = make(map[string]string)
+	if d.loggedInvalid == nil || len(d.loggedInvalid) >= maxLoggedInvalid {
+		d.loggedInvalid = make(map[string]string)
 	}
 	l := d.links[e.ID]
-	if d.bad[e.ID] != e.Bad {
-		d.bad[e.ID] = e.Bad
+	if d.loggedInvalid[e.ID] != e.Bad {
+		d.loggedInvalid[e.ID] = e.Bad
 		level.Warn(d.Log).Log("event", "bad_worker_entry", "worker", e.ID, "version", e.Ver, "why", e.Bad, "known", l != nil)
 	}
-	if l != nil && e.Ver >= l.ver {
-		d.miss(l, now)
+	if l != nil && e.Ver >= l.entryVer {
+		d.entryMissing(l, now)
 		d.cell.Missing(l.id)
 	}
 }
 
-// miss takes in that a worker has no entry. The lock is held.
-func (d *Driver) miss(l *link, now time.Time) {
+// entryMissing notes that a worker has no entry. The lock is held.
+func (d *Driver) entryMissing(l *link, now time.Time) {
 	switch {
-	case l.missing.IsZero():
-		l.missing = now
-	case now.Sub(l.missing) > goneAfter:
+	case l.missingSince.IsZero():
+		l.missingSince = now
+	case now.Sub(l.missingSince) > missingGrace:
 		d.cell.Missing(l.id)
 	}
 }
