--- a/driver/watch_test.go
+++ b/driver/watch_test.go
@@ -15,22 +15,22 @@
 	"dewpass.org/sched"
 )
 
-// A worker was given tasks more than two seconds after it had said that it leaves: its owner's
-// worker_leaves came 2.157 s after the store's connections had gone silent. The list is read
-// every 0.8 s, and a reading that had just begun waited out the 1.5 s that a call to the store
-// may be silent for.
+// Guards against noticing too late that a worker leaves. A worker got tasks more than two seconds
+// after it had announced that it leaves: its owner logged worker_leaves 2.157 s after the store's
+// connections had stalled. The directory is read every 0.8 s, and a read that had just begun waited
+// for the full 1.5 s that a call to the store may stall.
 
-// silentList is a directory of one worker. The reading after the first goes by a connection
-// that has gone silent.
-type silentList struct {
+// stallingDirectory is a directory of one worker. Its second read uses a connection that has
+// stalled.
+type stallingDirectory struct {
 	mu    sync.Mutex
 	reads int
-	// silentFor is how long a call waits for a first byte where its caller doesn't end it.
+	// stallFor is how long a stalled call waits for the first byte unless its caller ends it.
 	silentFor time.Duration
 	first     time.Time
 }
 
-func (l *silentList) All(ctx context.Context) ([]Entry, error) {
+func (l *stallingDirectory) All(ctx context.Context) ([]Entry, error) {
 	l.mu.Lock()
 	l.reads++
 	n := l.reads
@@ -43,36 +43,37 @@
 		case <-ctx.Done():
 		case <-time.After(l.silentFor):
 		}
-		return nil, kind.New(kind.Lost, "silent")
+		return nil, kind.New(kind.Lost, "connection stalled")
 	}
 	w := cell.Worker{ID: "w", Addr: "a", Pool: "p", Hall: "h", Room: sched.Vec{sched.Milli: 1000}}
-	// It says that it leaves right after the first reading.
+	// The worker announces that it leaves right after the first read.
 	w.Draining = n > 1
 	return []Entry{{Ver: uint64(n), Worker: w}}, nil
 }
 
 var _ = ginkgo.Describe("the directory", func() {
-	ginkgo.It("is read less often when it is long, down to a bound", func() {
-		Expect(readPause(8, 0)).To(Equal(readEvery))
-		Expect(readPause(350, 0)).To(Equal(readEvery))
-		Expect(readPause(800, 0)).To(Equal(2 * readEvery))
-		Expect(readPause(3000, 0)).To(Equal(readMost))
+	ginkgo.It("is read less often if it is long, down to a minimum rate", func() {
+		Expect(readPause(8, 0)).To(Equal(readInterval))
+		Expect(readPause(350, 0)).To(Equal(readInterval))
+		Expect(readPause(800, 0)).To(Equal(2 * readInterval))
+		Expect(readPause(3000, 0)).To(Equal(maxReadInterval))
 	})
 
-	// A list of 120 workers took 0.2 s of a link of 2 Mbit/s every second. Going by the time
-	// that a reading took, an owner that reached the store by a peer alone read the list every
-	// 2 s, and gave 16 tasks to a worker that had said 2 s before that it leaves.
-	ginkgo.It("is read less often over a thin link, whatever the store does", func() {
+	// The pause must follow the size of the list, not the duration of the read. A list of 120
+	// workers took 0.2 s of a 2 Mbit/s link every second. When the pause followed the duration of
+	// the read, an owner that reached the store only through a peer read the list every 2 s, and
+	// gave 16 tasks to a worker that had announced 2 s before that it leaves.
+	ginkgo.It("is read less often over a slow link, however slow the store is", func() {
 		Expect(readPause(120, 250_000)).To(BeNumerically("~", 1800*time.Millisecond, 100*time.Millisecond))
-		Expect(readPause(120, 2_500_000)).To(Equal(readEvery))
-		Expect(readPause(10_000, 1000)).To(Equal(readMost))
+		Expect(readPause(120, 2_500_000)).To(Equal(readInterval))
+		Expect(readPause(10_000, 1000)).To(Equal(maxReadInterval))
 	})
 
-	ginkgo.It("shows within two seconds that a worker leaves, though its connection goes silent", func(ctx context.Context) {
+	ginkgo.It("shows within two seconds that a worker leaves, though the connection to the store stalls", func(ctx context.Context) {
 		d := newDriver(ctx, newTable(), func() {})
-		l := &silentList{silentFor: 1500 * time.Millisecond}
+		l := &stallingDirectory{silentFor: 1500 * time.Millisecond}
 		d.Directory = l
-		d.spawn(d.watch)
+		d.spawn(d.watchDirectory)
 		defer d.Close()
 		leaves := func() bool {
 			d.mu.Lock()
--- a/driver/workerlist.go
+++ b/driver/workerlist.go
@@ -17,22 +17,22 @@
 	"dewpass.org/rows"
 )
 
-// workerListEntry is one worker of the list in the store. The directory forgets workers
-// that cannot reach the store, and they may still run what a former owner started.
+// workerListEntry is a worker in the worker list. The list is needed because the directory forgets
+// workers that cannot reach the store, and they may still execute runs that a former owner started.
 type workerListEntry struct {
 	ID   string `json:"id"`
 	Addr string `json:"addr"`
 	Hall string `json:"hall,omitempty"`
-	// Born tells the life that may run what was started there.
+	// Born identifies the life that may execute the runs.
 	Born int64 `json:"born,omitempty"`
 }
 
 const (
-	// workerListName begins the names of the rows that list a cell's workers beside
-	// its lease.
+	// workerListName is the prefix of the names of the rows with a cell's workers. They are stored
+	// next to the cell's lease.
 	workerListName = "workers-"
-	// workersPerRow is how many workers a row lists, so that it stays far below what
-	// the store takes for a row.
+	// workersPerRow is the number of workers per row. It keeps rows far below the store's size
+	// limit.
 	workersPerRow = 400
 )
 
@@ -40,41 +40,41 @@
 	return rows.Key{Table: claim.Table, Part: d.Name, Name: fmt.Sprintf("%s%03d", workerListName, row)}
 }
 
-// workerListRange is the range of all rows of the worker list.
+// workerListRange returns the range of all rows of the worker list.
 func (d *Driver) workerListRange() rows.Range {
 	return rows.Range{Table: claim.Table, Part: d.Name, From: workerListName, To: workerListName + "~"}
 }
 
-// mayRun reports whether something may run on a worker now or later: not if its
-// leases are over, nor if it leaves and is empty. The lock is held.
+// mayRun reports whether a worker may have runs now or later. It has none if its leases have
+// expired, or if it leaves and is empty. The lock is held.
 func (d *Driver) mayRun(l *link) bool {
-	return !l.lapsed && (len(l.orders) > 0 || !l.attached || !d.cell.Left(l.id))
+	return !l.lapsed && (len(l.pendingOrders) > 0 || !l.attached || !d.cell.Left(l.id))
 }
 
-// workerList returns the workers that may run something: those of which the next owner
-// has to know what runs there. The lock is held.
+// workerList returns the workers that may have runs, which the next owner must know of. The lock is
+// held.
 func (d *Driver) workerList() []workerListEntry {
 	out := make([]workerListEntry, 0, len(d.links))
 	for _, l := range d.links {
 		if d.mayRun(l) {
-			out = append(out, workerListEntry{ID: l.id, Addr: l.addr, Hall: l.hall, Born: l.supposedBorn()})
+			out = append(out, workerListEntry{ID: l.id, Addr: l.addr, Hall: l.hall, Born: l.likelyBorn()})
 		}
 	}
 	slices.SortFunc(out, func(a, b workerListEntry) int { return strings.Compare(a.ID, b.ID) })
 	return out
 }
 
-// supposedBorn returns which life may run something: the one that has listed what it runs, or
-// that of the worker's entry while none has.
-func (l *link) supposedBorn() int64 {
+// likelyBorn returns the life that may execute runs: the one that has listed its runs or, while
+// none has, the one that wrote the worker's entry.
+func (l *link) likelyBorn() int64 {
 	if l.born != 0 {
 		return l.born
 	}
-	return l.by
+	return l.writerBorn
 }
 
-// putWorkerList adds the worker list to a transaction, and the removal of rows that it does
-// not take any more. The lock is held.
+// putWorkerList adds the worker list to a transaction, and removes rows that are no longer needed.
+// The lock is held.
 func (d *Driver) putWorkerList(t *rows.Tx) {
 	n, all := 0, d.workerList()
 	d.workerListSize = len(all)
@@ -85,12 +85,12 @@
 	for row := n; row < d.workerListRows; row++ {
 		t.Remove = append(t.Remove, d.workerListKey(row))
 	}
-	// Until the store has taken it, there may be as many as before.
+	// Until the store has accepted the transaction, the previous number of rows may remain.
 	d.workerListRows = max(d.workerListRows, n)
 }
 
-// checkWorkerList has the worker list written again if a worker in it cannot run
-// anything any more. The lock is held.
+// checkWorkerList schedules a write of the worker list if a listed worker can no longer have runs.
+// The lock is held.
 func (d *Driver) checkWorkerList() {
 	n := 0
 	for _, l := range d.links {
@@ -100,11 +100,11 @@
 	}
 	if n < d.workerListSize {
 		d.workerListChanged = true
-		notify(d.write)
+		notify(d.commitNow)
 	}
 }
 
-// restoreWorkerList takes in what the former owner wrote.
+// restoreWorkerList applies the worker list that the former owner wrote.
 func (d *Driver) restoreWorkerList(all []rows.Row) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -119,14 +119,14 @@
 	}
 }
 
-// restoreWorkers starts links to workers of the worker list. The lock is held.
+// restoreWorkers starts links to the workers of the worker list. The lock is held.
 func (d *Driver) restoreWorkers(all []workerListEntry) {
 	now := clock.Now()
 	for _, e := range all {
 		if d.links[e.ID] == nil {
 			d.cell.Heard(cell.Worker{ID: e.ID, Born: e.Born, Addr: e.Addr, Hall: e.Hall, Gone: true}, now)
 			d.connect(e.ID, e.Addr, e.Hall)
-			d.links[e.ID].born, d.links[e.ID].missing = e.Born, now
+			d.links[e.ID].born, d.links[e.ID].missingSince = e.Born, now
 		}
 	}
 }
