--- a/driver/carry_test.go
+++ b/driver/carry_test.go
@@ -131,7 +131,7 @@
 // newWideDriver returns a driver with a step of many tasks to start. adapt changes the driver
 // first.
 func newWideDriver(ctx context.Context, t *thinLink, adapt func(*Driver)) *Driver {
-	d := newDriver(ctx, newTable(), func() {})
+	d := newDriver(ctx, newMemStore(), func() {})
 	d.Workers, d.Directory = t, roomyDirectory{}
 	adapt(d)
 	d.Configure([]cell.Queue{{Name: "q", Pool: "p", MaxAttempts: 1}})
@@ -200,7 +200,7 @@
 
 	ginkgo.It("has its workers held directly if a carrier gets no answer from them", func(ctx context.Context) {
 		t := &thinLink{}
-		d := newDriver(ctx, newTable(), func() {})
+		d := newDriver(ctx, newMemStore(), func() {})
 		defer d.Close()
 		d.Workers, d.Carriers = t, thinCarriers{t}
 		a, err := d.sendHold(ctx, pendingHold{HoldOrder: HoldOrder{Target: Target{Worker: "a"}}, hall: "h", limit: time.Second, carried: true})
@@ -222,7 +222,7 @@
 		}}}, time.Now(), false)
 	}
 	driverWithRun := func(ctx context.Context) *Driver {
-		d := newDriver(ctx, newTable(), func() {})
+		d := newDriver(ctx, newMemStore(), func() {})
 		d.Workers = unreachable{}
 		d.mu.Lock()
 		defer d.mu.Unlock()
@@ -288,7 +288,7 @@
 // answers of all workers 0.2 s late, and each was considered lost after 0.1 s.
 var _ = ginkgo.Describe("the timeout of an order", func() {
 	ginkgo.It("grows up to its maximum while the answers of several workers are late", func(ctx context.Context) {
-		d := newDriver(ctx, newTable(), func() {})
+		d := newDriver(ctx, newMemStore(), func() {})
 		defer d.Close()
 		l, now := &link{}, time.Now()
 		l.answerTimes.Answered(4 * time.Millisecond)
@@ -330,7 +330,7 @@
 
 var _ = ginkgo.Describe("the workers of a hall", func() {
 	ginkgo.It("are attached a few at a time", func(ctx context.Context) {
-		d := newDriver(ctx, newTable(), func() {})
+		d := newDriver(ctx, newMemStore(), func() {})
 		defer d.Close()
 		c := &holdCounter{}
 		d.Workers, d.Directory = c, roomyDirectory{}
--- a/driver/driver_test.go
+++ b/driver/driver_test.go
@@ -42,7 +42,7 @@
 // maxRowBytes is the row size limit of the users' store.
 const maxRowBytes = 65536
 
-func newTable() *memStore {
+func newMemStore() *memStore {
 	return &memStore{rows: make(map[rows.Key]rows.Row), failReads: make(map[string]int), reads: make(map[string]int)}
 }
 
@@ -144,7 +144,7 @@
 
 var _ = ginkgo.Describe("a new owner of a cell", func() {
 	ginkgo.It("reads only the parts again that it could not read", func(ctx context.Context) {
-		t := newTable()
+		t := newMemStore()
 		t.putSpec("a1")
 		t.putSpec("b1")
 		t.failReads["b"] = 2
@@ -158,7 +158,7 @@
 	})
 
 	ginkgo.It("renews its cell lease while it loads, and gives up if that takes too long", func(ctx context.Context) {
-		t := newTable()
+		t := newMemStore()
 		t.failReads["a"] = 1 << 20
 		var slow atomic.Bool
 		d := newDriver(ctx, t, func() { slow.Store(true) })
@@ -174,7 +174,7 @@
 
 var _ = ginkgo.Describe("an owner of a cell", func() {
 	ginkgo.It("sends no orders once its cell lease may be taken, unless all instances hear from it", func(ctx context.Context) {
-		d := newDriver(ctx, newTable(), func() {})
+		d := newDriver(ctx, newMemStore(), func() {})
 		heardByAll := false
 		d.HeardByAll = func() bool { return heardByAll }
 		w := d.Claim.Written()
@@ -185,7 +185,7 @@
 	})
 
 	ginkgo.It("reports unsaved successes only while no other instance may own the cell", func(ctx context.Context) {
-		d := newDriver(ctx, newTable(), func() {})
+		d := newDriver(ctx, newMemStore(), func() {})
 		d.HeardByAll = func() bool { return false }
 		d.Succeeded = func() []string { return []string{"a1"} }
 		spec := &flow.Spec{ID: "a1", Cell: "c", Steps: []flow.Step{{Count: 1}}}
@@ -200,7 +200,7 @@
 	})
 
 	ginkgo.It("removes the records of jobs whose specification is gone", func(ctx context.Context) {
-		t := newTable()
+		t := newMemStore()
 		old := RecordKey("c", "over")
 		_, err := t.Tx(ctx, rows.Tx{Put: []rows.Row{{Key: old, Value: flow.Encode(flow.Record{State: flow.Running})}}})
 		Expect(err).NotTo(HaveOccurred())
@@ -211,7 +211,7 @@
 	})
 
 	ginkgo.It("removes the ends of its own cell that were kept for long enough, and no others", func(ctx context.Context) {
-		d := newDriver(ctx, newTable(), func() {})
+		d := newDriver(ctx, newMemStore(), func() {})
 		now := time.Now()
 		row := func(id, cell string, age time.Duration) rows.Row {
 			e := flow.Ended{State: flow.Succeeded, Cell: cell, AtMS: now.Add(-age).UnixMilli()}
@@ -224,7 +224,7 @@
 
 var _ = ginkgo.Describe("the worker list of a large cell", func() {
 	ginkgo.It("is written in rows within the store's limit, and read back completely", func(ctx context.Context) {
-		t := newTable()
+		t := newMemStore()
 		d := newDriver(ctx, t, func() {})
 		const workers = 2 * workersPerRow
 		entries := make([]workerListEntry, workers)
@@ -255,7 +255,7 @@
 
 var _ = ginkgo.Describe("worker leases granted by a former owner", func() {
 	ginkgo.It("last for their full length after the former owner's last possible order", func(ctx context.Context) {
-		d := newDriver(ctx, newTable(), func() {})
+		d := newDriver(ctx, newMemStore(), func() {})
 		defer d.Close()
 		d.Former = time.Second
 		d.mu.Lock()
@@ -267,7 +267,7 @@
 
 var _ = ginkgo.Describe("the worker list", func() {
 	ginkgo.It("omits workers that certainly have no runs, until they are attached again", func(ctx context.Context) {
-		d := newDriver(ctx, newTable(), func() {})
+		d := newDriver(ctx, newMemStore(), func() {})
 		defer d.Close()
 		// The links must send no orders by themselves: each attempt to reach a worker would raise
 		// its fence, and an answer under the previous fence does not count.
@@ -312,7 +312,7 @@
 
 var _ = ginkgo.Describe("a job that is submitted again", func() {
 	ginkgo.It("does not run again under a new owner that never read it before it ended", func(ctx context.Context) {
-		t := newTable()
+		t := newMemStore()
 		t.putSpec("a1")
 		spec := &flow.Spec{ID: "a1", Cell: "c", Steps: []flow.Step{{Count: 1}}}
 		accepted := t.rows[SpecKey("a1")].Ver
@@ -330,7 +330,7 @@
 
 var _ = ginkgo.Describe("while the cell's own part of the store is down", func() {
 	ginkgo.It("the end of a job that succeeded is visible, but a cancellation is not", func(ctx context.Context) {
-		t := newTable()
+		t := newMemStore()
 		t.putSpec("1")
 		t.putSpec("2")
 		d := newDriver(ctx, t, func() {})
@@ -361,7 +361,7 @@
 
 var _ = ginkgo.Describe("a job that has ended", func() {
 	ginkgo.It("leaves one small row, so that the next owner does not read all of it", func(ctx context.Context) {
-		t := newTable()
+		t := newMemStore()
 		d := newDriver(ctx, t, func() {})
 		const jobs = 120
 		for i := range jobs {
--- a/driver/early_test.go
+++ b/driver/early_test.go
@@ -45,12 +45,12 @@
 	}
 
 	ginkgo.It("is not forgotten while the job may still be found", func(ctx context.Context) {
-		t := newTable()
+		t := newMemStore()
 		Consistently(forgotten(run(ctx, t, t)), 3*scanInterval).Should(BeFalse(), "the feed cannot be read")
 	})
 
 	ginkgo.It("is not forgotten while the feed may have more changes than were read", func(ctx context.Context) {
-		t := newTable()
+		t := newMemStore()
 		page := rows.Page{Rows: make([]rows.Row, maxFeedRows)}
 		for i := range page.Rows {
 			page.Rows[i].Gone = true
@@ -59,12 +59,12 @@
 	})
 
 	ginkgo.It("is forgotten once all jobs accepted before it have been read", func(ctx context.Context) {
-		t := newTable()
+		t := newMemStore()
 		Eventually(forgotten(run(ctx, t, fixedFeedStore{t, rows.Page{}})), 3*scanInterval+time.Second).Should(BeTrue())
 	})
 
 	ginkgo.It("is forgotten once all jobs have been read because the feed has no history", func(ctx context.Context) {
-		t := newTable()
+		t := newMemStore()
 		store := fixedFeedStore{t, rows.Page{Forgotten: true}}
 		Eventually(forgotten(run(ctx, t, store)), 5*scanInterval+time.Second).Should(BeTrue())
 	})
--- a/driver/fence_test.go
+++ b/driver/fence_test.go
@@ -14,7 +14,7 @@
 
 var _ = ginkgo.Describe("a worker that was given up and reappears", func() {
 	ginkgo.It("is attached under a fence above all that it has seen from this owner", func(ctx context.Context) {
-		d := newDriver(ctx, newTable(), func() {})
+		d := newDriver(ctx, newMemStore(), func() {})
 		// The links must send no orders by themselves.
 		d.cancel()
 		defer d.Close()
--- a/driver/foreign_test.go
+++ b/driver/foreign_test.go
@@ -33,7 +33,7 @@
 	}
 	// driverWithWorker returns a driver with a worker that has room for one of two tasks.
 	driverWithWorker := func(ctx context.Context) *Driver {
-		d := newDriver(ctx, newTable(), func() {})
+		d := newDriver(ctx, newMemStore(), func() {})
 		d.applyDirectory([]Entry{good(1)})
 		d.mu.Lock()
 		defer d.mu.Unlock()
@@ -47,7 +47,7 @@
 	}
 
 	ginkgo.It("adds no worker", func(ctx context.Context) {
-		d := newDriver(ctx, newTable(), func() {})
+		d := newDriver(ctx, newMemStore(), func() {})
 		defer d.Close()
 		d.applyDirectory([]Entry{bad("x", 1), good(1)})
 		Expect(d.links).To(HaveLen(1))
@@ -77,7 +77,7 @@
 	})
 
 	ginkgo.It("is remembered as logged only up to a limit", func(ctx context.Context) {
-		d := newDriver(ctx, newTable(), func() {})
+		d := newDriver(ctx, newMemStore(), func() {})
 		defer d.Close()
 		for i := range 3 * maxLoggedInvalid {
 			d.applyDirectory([]Entry{bad(string(rune('a'+i%26))+time.Duration(i).String(), 1)})
@@ -95,7 +95,7 @@
 	}
 
 	ginkgo.It("is not run again", func(ctx context.Context) {
-		d := newDriver(ctx, newTable(), func() {})
+		d := newDriver(ctx, newMemStore(), func() {})
 		defer d.Close()
 		records := []rows.Row{
 			{Key: RecordKey("c", "1"), Value: []byte(`{"state":"running","stages":[{"done":`)},
@@ -109,7 +109,7 @@
 	})
 
 	ginkgo.It("with an invalid specification does not keep other jobs from loading", func(ctx context.Context) {
-		d := newDriver(ctx, newTable(), func() {})
+		d := newDriver(ctx, newMemStore(), func() {})
 		defer d.Close()
 		odd := rows.Row{Key: SpecKey("9"), Value: []byte(`{"id":"9","cell":"c","steps":[{"count":-1}]}`), Ver: 1}
 		d.restore([]rows.Row{odd, {Key: SpecKey("8"), Value: []byte(`null`), Ver: 1}, spec("3")}, nil, nil)
@@ -126,7 +126,7 @@
 	}
 
 	ginkgo.It("are found by their home rows, and only they are read", func(ctx context.Context) {
-		t := newTable()
+		t := newMemStore()
 		t.putSpec("a1")
 		t.putSpec("b1")
 		t.putSpec("c1")
@@ -146,7 +146,7 @@
 	})
 
 	ginkgo.It("are read again after a failed read", func(ctx context.Context) {
-		t := newTable()
+		t := newMemStore()
 		t.putSpec("b1")
 		t.failReads["b"] = 1
 		d := newDriver(ctx, t, func() {})
--- a/driver/leaving_kept_test.go
+++ b/driver/leaving_kept_test.go
@@ -47,7 +47,7 @@
 // for earlier ends to be persisted.
 var _ = ginkgo.Describe("a worker that leaves soon and has listed ends that are not persisted yet", func() {
 	ginkgo.It("is polled again without a long delay", func(ctx context.Context) {
-		t, w := &stallingStore{memStore: newTable()}, &leavingWorker{restartingWorker: newRestartingWorker()}
+		t, w := &stallingStore{memStore: newMemStore()}, &leavingWorker{restartingWorker: newRestartingWorker()}
 		d := newDriver(ctx, t.memStore, func() {})
 		d.Claim.Store, d.Store = t, t
 		d.Lease = 5 * time.Second
--- a/driver/leaving_late_test.go
+++ b/driver/leaving_late_test.go
@@ -108,7 +108,7 @@
 
 var _ = ginkgo.Describe("a run that would be done just before its worker leaves", func() {
 	ginkgo.It("is stopped early enough to be reported, though the worker's announcement is read late", func(ctx context.Context) {
-		t, w := newTable(), &departingWorker{changed: make(chan struct{})}
+		t, w := newMemStore(), &departingWorker{changed: make(chan struct{})}
 		t.putSpec("0")
 		d := newDriver(ctx, t, func() {})
 		d.Lease = 6 * time.Second
--- a/driver/leaving_test.go
+++ b/driver/leaving_test.go
@@ -131,7 +131,7 @@
 	// stopAndLeave starts a run on a worker, loses an order to it, and lets the run end and the worker
 	// disappear while another worker is free.
 	stopAndLeave := func(ctx context.Context, w *dyingWorker) *Driver {
-		t, workers := newTable(), &growingDirectory{}
+		t, workers := newMemStore(), &growingDirectory{}
 		t.putSpec("0")
 		d := newDriver(ctx, t, func() {})
 		d.Workers, d.Directory = w, workers
@@ -164,7 +164,7 @@
 	})
 
 	ginkgo.It("may be missed, and then the run is logged as left behind", func(ctx context.Context) {
-		d := newDriver(ctx, newTable(), func() {})
+		d := newDriver(ctx, newMemStore(), func() {})
 		var lines bytes.Buffer
 		d.Log = log.NewLogfmtLogger(&lines)
 		d.cell.Configure([]cell.Queue{{Name: "q", Pool: "p", MaxAttempts: 1}})
--- a/driver/life_test.go
+++ b/driver/life_test.go
@@ -111,7 +111,7 @@
 
 var _ = ginkgo.Describe("a worker that restarts under its id", func() {
 	startDriver := func(ctx context.Context, w *restartingWorker) *Driver {
-		d := newDriver(ctx, newTable(), func() {})
+		d := newDriver(ctx, newMemStore(), func() {})
 		d.Workers, d.Directory = w, w
 		d.Configure([]cell.Queue{{Name: "q", Pool: "p", MaxAttempts: 1}})
 		d.Start()
@@ -175,7 +175,7 @@
 	// attachedDriver returns a driver whose link is attached to a worker's life and which sends nothing by
 	// itself.
 	attachedDriver := func(ctx context.Context) (*Driver, *link) {
-		d := newDriver(ctx, newTable(), func() {})
+		d := newDriver(ctx, newMemStore(), func() {})
 		d.cancel()
 		ginkgo.DeferCleanup(d.Close)
 		d.mu.Lock()
@@ -309,7 +309,7 @@
 	})
 
 	ginkgo.It("is known to the next owner by the worker list", func(ctx context.Context) {
-		t := newTable()
+		t := newMemStore()
 		d := newDriver(ctx, t, func() {})
 		defer d.Close()
 		d.mu.Lock()
@@ -325,7 +325,7 @@
 	})
 
 	ginkgo.It("is held directly if a carrier does not say which life has answered", func(ctx context.Context) {
-		d := newDriver(ctx, newTable(), func() {})
+		d := newDriver(ctx, newMemStore(), func() {})
 		defer d.Close()
 		w := newRestartingWorker()
 		d.Workers, d.Carriers = w, carriersWithoutBorn{}
--- a/driver/refusing_test.go
+++ b/driver/refusing_test.go
@@ -84,7 +84,7 @@
 var _ = ginkgo.Describe("a worker that loses every start order and answers every hold", func() {
 	// submitTask submits a job whose task fits best into the worker that loses orders.
 	submitTask := func(ctx context.Context, w *lossyWorkers, workers sizedDirectory) *Driver {
-		t := newTable()
+		t := newMemStore()
 		spec := flow.Spec{ID: "0", Cell: "c", Queue: "q", Steps: []flow.Step{{Count: 1, Demand: sched.Vec{sched.Milli: 500, sched.MiB: 500}}}, AcceptedMS: time.Now().UnixMilli()}
 		_, err := t.Tx(ctx, rows.Tx{Put: []rows.Row{{Key: SpecKey("0"), Value: flow.Encode(&spec)}}})
 		Expect(err).NotTo(HaveOccurred())
--- a/driver/retention_test.go
+++ b/driver/retention_test.go
@@ -25,7 +25,7 @@
 
 	restoreJob := func(ctx context.Context, rec flow.Record) (*memStore, *Driver) {
 		ginkgo.GinkgoHelper()
-		t := newTable()
+		t := newMemStore()
 		spec := flow.Spec{ID: "1", Cell: "c", Queue: "q", Steps: []flow.Step{{Count: 1}}, AcceptedMS: accepted.UnixMilli()}
 		_, err := t.Tx(ctx, rows.Tx{Put: []rows.Row{
 			{Key: SpecKey("1"), Value: flow.Encode(spec)},
@@ -84,7 +84,7 @@
 // ended jobs.
 var _ = ginkgo.Describe("a job that its owner finds late in the store", func() {
 	ginkgo.It("runs, however long ago it was accepted", func(ctx context.Context) {
-		d := newDriver(ctx, newTable(), func() {})
+		d := newDriver(ctx, newMemStore(), func() {})
 		defer d.Close()
 		Expect(d.load()).To(BeTrue())
 		spec := flow.Spec{ID: "1", Cell: "c", Queue: "q", Steps: []flow.Step{{Count: 1}}, AcceptedMS: time.Now().Add(-2 * d.Keep).UnixMilli()}
@@ -93,7 +93,7 @@
 	})
 
 	ginkgo.It("does not run if the same changes show that it has ended", func(ctx context.Context) {
-		d := newDriver(ctx, newTable(), func() {})
+		d := newDriver(ctx, newMemStore(), func() {})
 		defer d.Close()
 		Expect(d.load()).To(BeTrue())
 		spec := flow.Spec{ID: "1", Cell: "c", Queue: "q", Steps: []flow.Step{{Count: 1}}, AcceptedMS: time.Now().UnixMilli()}
@@ -117,7 +117,7 @@
 // job among them that had ended and been forgotten meanwhile was taken for a new one.
 var _ = ginkgo.Describe("a read of all jobs that continues after failures", func() {
 	ginkgo.It("does not bring back a job that ended and was forgotten meanwhile", func(ctx context.Context) {
-		t := newTable()
+		t := newMemStore()
 		d := newDriver(ctx, t, func() {})
 		defer d.Close()
 		d.Keep = time.Second
@@ -164,7 +164,7 @@
 
 var _ = ginkgo.Describe("an owner whose job feed has failed for a long time", func() {
 	ginkgo.It("reads all jobs, as changes and removals may be in different pages of the feed", func(ctx context.Context) {
-		t := newTable()
+		t := newMemStore()
 		d := newDriver(ctx, t, func() {})
 		defer d.Close()
 		d.Keep = time.Second
--- a/driver/seek_test.go
+++ b/driver/seek_test.go
@@ -38,7 +38,7 @@
 var _ = ginkgo.Describe("a lasting task on a worker that is cut off", func() {
 	ginkgo.It("makes the owner ask the policy before the leases there expire", func(ctx context.Context) {
 		w := &cutOffWorker{restartingWorker: newRestartingWorker()}
-		d := newDriver(ctx, newTable(), func() {})
+		d := newDriver(ctx, newMemStore(), func() {})
 		d.Lease = 4 * time.Second
 		d.Workers, d.Directory = w, w
 		var asked atomic.Int64
--- a/driver/share_test.go
+++ b/driver/share_test.go
@@ -27,20 +27,20 @@
 	}
 
 	ginkgo.It("is read by the owners of these cells and by no other", func(ctx context.Context) {
-		t := newTable()
+		t := newMemStore()
 		put(t)
 		d := newDriver(ctx, t, func() {})
 		Expect(d.load()).To(BeTrue())
 		Expect(d.Cells("1")).To(Equal([]string{"home", "c"}))
 
-		other := newDriver(ctx, newTable(), func() {})
+		other := newDriver(ctx, newMemStore(), func() {})
 		other.Name = "other"
 		other.restore([]rows.Row{{Key: SpecKey("1"), Value: flow.Encode(spec)}}, nil, nil)
 		Expect(other.cell.Known("1")).To(BeFalse())
 	})
 
 	ginkgo.It("is found by an owner to which it was not reported", func(ctx context.Context) {
-		t := newTable()
+		t := newMemStore()
 		d := newDriver(ctx, t, func() {})
 		Expect(d.load()).To(BeTrue())
 		put(t)
@@ -49,7 +49,7 @@
 	})
 
 	ginkgo.It("keeps the record of a cancelled part until the job's end is persisted", func(ctx context.Context) {
-		t := newTable()
+		t := newMemStore()
 		put(t)
 		d := newDriver(ctx, t, func() {})
 		d.Keep = 100 * time.Millisecond
@@ -68,7 +68,7 @@
 	})
 
 	ginkgo.It("ends in a cell that was not notified of the end", func(ctx context.Context) {
-		t := newTable()
+		t := newMemStore()
 		put(t)
 		d := newDriver(ctx, t, func() {})
 		d.Start()
--- a/driver/suspend_test.go
+++ b/driver/suspend_test.go
@@ -50,7 +50,7 @@
 	// afterSuspension starts an owner with a worker and suspends its machine, while another
 	// instance takes the cell if takenOver is set. A job is waiting when the machine resumes.
 	afterSuspension := func(ctx context.Context, takenOver bool, d time.Duration) (*obedientWorker, *atomic.Bool) {
-		t, w := newTable(), &obedientWorker{}
+		t, w := newMemStore(), &obedientWorker{}
 		lost := new(atomic.Bool)
 		o := newDriver(ctx, t, func() {})
 		o.Workers, o.Directory, o.HeardByAll = w, w, func() bool { return false }
--- a/driver/unanswered_test.go
+++ b/driver/unanswered_test.go
@@ -73,7 +73,7 @@
 	})
 
 	ginkgo.It("does not include a hold that was abandoned to attach its worker again", func(ctx context.Context) {
-		d := newDriver(ctx, newTable(), func() {})
+		d := newDriver(ctx, newMemStore(), func() {})
 		defer d.Close()
 		l := &link{id: "w"}
 		l.answerTimes.Answered(4 * time.Millisecond)
@@ -85,7 +85,7 @@
 	})
 
 	ginkgo.It("is sent again under the next fence", func(ctx context.Context) {
-		t, w := newTable(), &unresponsiveWorker{}
+		t, w := newMemStore(), &unresponsiveWorker{}
 		t.putSpec("0")
 		d := newDriver(ctx, t, func() {})
 		d.Workers, d.Directory = w, singleWorkerDirectory{}
--- a/driver/watch_test.go
+++ b/driver/watch_test.go
@@ -70,7 +70,7 @@
 	})
 
 	ginkgo.It("shows within two seconds that a worker leaves, though the connection to the store stalls", func(ctx context.Context) {
-		d := newDriver(ctx, newTable(), func() {})
+		d := newDriver(ctx, newMemStore(), func() {})
 		l := &stallingDirectory{silentFor: 1500 * time.Millisecond}
 		d.Directory = l
 		d.spawn(d.watchDirectory)
