--- a/owner/call.go
+++ b/owner/call.go
@@ -113,7 +113,7 @@
 		return nil, kind.New(kind.Conflict, "this call is in progress here")
 	}
 	now := o.now()
-	o.cell.CallArrived(w.Demand, now)
+	o.cell.RecordCallArrival(w.Demand, now)
 	spec := ports.Task{ID: req.Id, Attempt: 1, Shop: req.Shop, Call: true, Payload: req.Payload, Repeat: ports.RepeatSafe}
 	if req.Once {
 		spec.Repeat = ports.RepeatNever
@@ -149,7 +149,7 @@
 func (o *Owner) mayWait(st *sched.Task, req *wire.Call, now time.Duration) error {
 	verdict, after := o.cell.Admit(st, now)
 	switch {
-	case verdict == sched.Full:
+	case verdict == sched.QueueFull:
 		return kind.New(kind.QueueFull, "").After(after)
 	case verdict == sched.TooLate:
 		return kind.New(kind.Deadline, "the predicted wait is too long").After(after)
--- a/owner/jobs.go
+++ b/owner/jobs.go
@@ -239,7 +239,7 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	t.stopped = false
-	o.cell.Refused(t.handle)
+	o.cell.RecordPreemptionFailed(t.handle)
 	o.suspect(w)
 }
 
@@ -255,7 +255,7 @@
 		return
 	}
 	if rep.State == ports.TaskThrottled && a == ports.ActThrottle {
-		o.cell.Throttled(t.handle)
+		o.cell.RecordThrottled(t.handle)
 	}
 	o.report(w, rep)
 	o.step()
--- a/owner/owner.go
+++ b/owner/owner.go
@@ -259,21 +259,21 @@
 // schedTask returns what the cell needs to know of t.
 func (o *Owner) schedTask(t *task) sched.Task {
 	s := sched.Task{
-		Ref:      t.ref,
-		Team:     sched.TeamID(o.names.of("team/" + t.workload.Team)),
-		Class:    t.workload.Class,
-		Demand:   t.spec.Demand,
-		Rack:     sched.AnyRack,
-		Call:     t.spec.Call,
-		Estimate: o.estimate(t.workload),
-		Ladder:   t.workload.Ladder,
+		Ref:        t.ref,
+		Team:       sched.TeamID(o.names.of("team/" + t.workload.Team)),
+		Class:      t.workload.Class,
+		Demand:     t.spec.Demand,
+		Rack:       sched.AnyRack,
+		Call:       t.spec.Call,
+		Estimate:   o.estimate(t.workload),
+		Preemption: t.workload.Ladder,
 	}
 	if t.job != nil && t.job.rack != nil && !t.spec.Call {
 		s.Rack = t.job.rack.id
 		o.jobTimes(t.job, &s)
 	}
 	if t.spec.Call || t.spec.Repeat == ports.RepeatNever {
-		s.Ladder = 0
+		s.Preemption = 0
 	}
 	if t.workload.Kind == tree.Service {
 		s.Group = o.names.of("group/" + t.workload.Path)
--- a/owner/racks.go
+++ b/owner/racks.go
@@ -197,7 +197,7 @@
 const waitStep = 500 * time.Millisecond
 
 func (o *Owner) summary(r *rack) *wire.Rack {
-	free, hole := o.cell.Hole(r.id)
+	free, hole := o.cell.RackRoom(r.id)
 	s := &wire.Rack{
 		Rack: r.name, EpochTable: r.epoch.Table, EpochLocal: r.epoch.Local,
 		Free: free[:], Hole: hole[:], Workers: uint32(len(r.workers)),
--- a/owner/report.go
+++ b/owner/report.go
@@ -227,7 +227,7 @@
 	}
 	t.handle = o.cell.Adopt(o.schedTask(t), w.id, o.now())
 	if rep.State == ports.TaskThrottled {
-		o.cell.Throttled(t.handle)
+		o.cell.RecordThrottled(t.handle)
 	}
 	if js != nil {
 		js.task, js.limbo = t, false
@@ -249,7 +249,7 @@
 	if rep.Checkpoint != "" && rep.Checkpoint != js.row.Checkpoint {
 		fault.At(fault.Checkpointed)
 		js.row.Checkpoint = rep.Checkpoint
-		o.cell.Saved(t.handle, o.now())
+		o.cell.RecordCheckpoint(t.handle, o.now())
 		o.persist(js)
 	}
 }
--- a/owner/step.go
+++ b/owner/step.go
@@ -18,7 +18,7 @@
 	}
 	now := o.now()
 	o.out = o.cell.Step(now, o.out[:0])
-	o.out = o.cell.Resumable(now, o.out)
+	o.out = o.cell.ResumeThrottled(now, o.out)
 	for _, d := range o.out {
 		t := o.byRef[d.Ref]
 		if t == nil {
--- a/sched/admit.go
+++ b/sched/admit.go
@@ -4,69 +4,69 @@
 
 import "time"
 
-// Verdict is the answer of Admit.
+// Verdict is the result of an admission check.
 type Verdict uint8
 
-// The verdicts.
 const (
-	// Admitted lets the task wait.
+	// Admitted means that the task may be queued.
 	Admitted Verdict = iota
-	// Full refuses it because too many tasks wait.
-	Full
-	// TooLate refuses it because it could not start in time.
+	// QueueFull means that the queue limit for the task's class is reached.
+	QueueFull
+	// TooLate means that the task could not start before its StartBy time.
 	TooLate
 )
 
 const (
 	minRetryAfter = 100 * time.Millisecond
 	maxRetryAfter = 30 * time.Second
-	// shedShare is the part of the queue, as one in this many, that each
-	// class below the highest gives up to the classes above it.
-	shedShare = 4
+	// shedDivisor sets the part of the queue that each class below the highest leaves to the
+	// classes above it: 1/shedDivisor of the limit.
+	shedDivisor = 4
 )
 
-// Admit says whether t may wait at now. A refusal comes with the time after
-// which it is worth coming back, worked out from how fast the queue drains.
+// Admit reports whether t may be queued at the time now. A refusal comes with a retry delay,
+// which is predicted from the rate at which queued tasks finish.
 func (c *Cell) Admit(t *Task, now time.Duration) (Verdict, time.Duration) {
 	wait := c.PredictedWait(t.Class, now)
-	ahead := c.ahead(t.Class)
+	ahead := c.waitingAhead(t.Class)
 	if ahead >= c.queueLimit(t.Class) {
-		return Full, clampRetry(wait)
+		return QueueFull, clampRetryAfter(wait)
 	}
 	if t.StartBy > 0 && now+wait > t.StartBy {
-		return TooLate, clampRetry(wait)
+		return TooLate, clampRetryAfter(wait)
 	}
 	return Admitted, 0
 }
 
-// queueLimit is lower for lower classes, so that they are shed first.
+// queueLimit returns the queue length up to which tasks of a class are admitted. It is lower
+// for lower classes, so that they are refused first.
 func (c *Cell) queueLimit(class Class) int {
 	limit := c.Config.QueueLimit
 	if limit == 0 {
 		limit = DefaultQueueLimit
 	}
-	return limit - int(Urgent-class)*limit/shedShare
+	return limit - int(Urgent-class)*limit/shedDivisor
 }
 
-// ahead counts the waiting tasks of the class and above.
-func (c *Cell) ahead(class Class) int {
+// waitingAhead counts the waiting tasks of the given class and of higher ones.
+func (c *Cell) waitingAhead(class Class) int {
 	n := 0
 	for k := class; k < numClasses; k++ {
-		n += c.waiting[k].live
+		n += c.waiting[k].liveCount
 	}
 	return n
 }
 
-// PredictedWait returns how long a task of the class would wait that came now:
-// the tasks ahead of it over the rate at which such tasks finished of late.
+// PredictedWait returns how long a task of the class would wait if it were queued now: the
+// number of tasks ahead of it over the recent rate at which such tasks finished.
 func (c *Cell) PredictedWait(class Class, now time.Duration) time.Duration {
-	n := c.ahead(class)
+	n := c.waitingAhead(class)
 	if n == 0 {
 		return 0
 	}
 	var perSecond float64
 	for k := class; k < numClasses; k++ {
-		perSecond += c.drained[k].at(now)
+		perSecond += c.finishRate[k].at(now)
 	}
 	if perSecond <= 0 {
 		return 0
@@ -74,6 +74,6 @@
 	return time.Duration(float64(n) / perSecond * float64(time.Second))
 }
 
-func clampRetry(d time.Duration) time.Duration {
+func clampRetryAfter(d time.Duration) time.Duration {
 	return min(max(d, minRetryAfter), maxRetryAfter)
 }
--- a/sched/baseline_test.go
+++ b/sched/baseline_test.go
@@ -8,22 +8,22 @@
 	"time"
 )
 
-// rule is what tells one baseline from another.
+// rule distinguishes one baseline from another.
 type rule struct {
-	// pick returns the worker for a demand, or NoWorker.
+	// pick returns a worker for a demand, or NoWorker.
 	pick func(p *Pool, rng *rand.Rand, d Vec) WorkerID
-	// before orders the queue; nil leaves it in the order of arrival.
-	before func(a, b *item) bool
-	// skip lets later work pass work that does not fit.
+	// before orders the queue; nil means order of arrival.
+	before func(a, b *arrival) bool
+	// skip lets later tasks pass tasks that do not fit.
 	skip bool
 }
 
-// baseline is a policy of the textbooks: a queue and a rule.
+// baseline is a textbook policy: a queue and a rule.
 type baseline struct {
 	rule
 	pool  Pool
 	rng   *rand.Rand
-	queue []*item
+	queue []*arrival
 }
 
 func newBaseline(r rule) *baseline {
@@ -39,7 +39,7 @@
 	return NoWorker
 }
 
-// randomOfTwo takes the emptier of two workers drawn at random.
+// randomOfTwo picks the one of two random workers that has more free slots.
 func randomOfTwo(p *Pool, rng *rand.Rand, d Vec) WorkerID {
 	a, b := WorkerID(rng.IntN(len(p.free))), WorkerID(rng.IntN(len(p.free)))
 	if p.free[b][Slots] > p.free[a][Slots] {
@@ -69,11 +69,11 @@
 
 // The baselines.
 var (
-	fcfs     = rule{pick: firstFit}
-	twoRules = rule{pick: randomOfTwo}
-	strict   = rule{pick: firstFit, skip: true, before: func(a, b *item) bool { return a.task.Class > b.task.Class }}
-	// decreasing knows all that has arrived and packs the largest first.
-	decreasing = rule{pick: bestFit, skip: true, before: func(a, b *item) bool {
+	fcfs           = rule{pick: firstFit}
+	randomTwo      = rule{pick: randomOfTwo}
+	strictPriority = rule{pick: firstFit, skip: true, before: func(a, b *arrival) bool { return a.task.Class > b.task.Class }}
+	// decreasing considers everything that has arrived and places the largest demand first.
+	decreasing = rule{pick: bestFit, skip: true, before: func(a, b *arrival) bool {
 		return a.task.Demand.Share(wholeWorker) > b.task.Demand.Share(wholeWorker)
 	}}
 )
@@ -82,7 +82,7 @@
 
 func (p *baseline) addWorker(capacity Vec) { p.pool.Add(0, capacity) }
 
-func (p *baseline) arrive(_ uint64, it *item, _ time.Duration) bool {
+func (p *baseline) arrive(_ uint64, it *arrival, _ time.Duration) bool {
 	i := len(p.queue)
 	if p.before != nil {
 		i = sort.Search(len(p.queue), func(i int) bool { return p.before(it, p.queue[i]) })
@@ -93,7 +93,7 @@
 	return true
 }
 
-// scanLimit bounds the work that is tried behind what does not fit.
+// scanLimit is the number of tasks that are tried and do not fit before a decision ends.
 const scanLimit = 64
 
 func (p *baseline) decide(_ time.Duration, out []Decision) []Decision {
@@ -109,18 +109,18 @@
 			i++
 			continue
 		}
-		p.pool.Take(w, it.task.Demand)
+		p.pool.Allocate(w, it.task.Demand)
 		p.queue = append(p.queue[:i], p.queue[i+1:]...)
 		out = append(out, Decision{Op: OpStart, Ref: it.task.Ref, Worker: w})
 	}
 	return out
 }
 
-func (p *baseline) finish(_ uint64, it *item, _ time.Duration) {
-	p.pool.Give(it.worker, it.task.Demand)
+func (p *baseline) finish(_ uint64, it *arrival, _ time.Duration) {
+	p.pool.Release(it.worker, it.task.Demand)
 }
 
-func (p *baseline) yielded(uint64, *item, Op, time.Duration) {}
+func (p *baseline) preempted(uint64, *arrival, Op, time.Duration) {}
 
 func (p *baseline) waiting() int { return len(p.queue) }
 
--- a/sched/bench_test.go
+++ b/sched/bench_test.go
@@ -11,15 +11,15 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// benchSizes are the workers of one owner: today's cell, a hall at the design
-// size, and the whole of it.
+// benchSizes are the numbers of workers of one owner: a cell of today, a data hall at the size
+// that the design is made for, and all data halls together.
 var benchSizes = []int{48, 375, 6000}
 
-// tasksPerWorker is 38,000 running tasks on 6,000 workers.
+// tasksPerWorker gives about 38,000 running tasks on 6,000 workers.
 const tasksPerWorker = 6
 
-// steady is a cell in which as many tasks run as end.
-type steady struct {
+// steadyCell is a cell in steady state: as many tasks start as end.
+type steadyCell struct {
 	cell    Cell
 	rng     *rand.Rand
 	running []Handle
@@ -28,8 +28,8 @@
 	mix     []Task
 }
 
-func newSteady(workers int) *steady {
-	s := &steady{rng: rand.New(rand.NewPCG(1, 1))}
+func newSteadyCell(workers int) *steadyCell {
+	s := &steadyCell{rng: rand.New(rand.NewPCG(1, 1))}
 	for i := range workers {
 		s.cell.Add(RackID(i/8), comharWorker)
 	}
@@ -52,8 +52,9 @@
 	return s
 }
 
-// task draws a task: half calls, half batch, of any of 88 teams.
-func (s *steady) task() Task {
+// task draws a task: a call or a batch task with equal probability, of a random one of 88
+// teams.
+func (s *steadyCell) task() Task {
 	t := s.mix[0]
 	if s.rng.IntN(2) == 0 {
 		t = s.mix[2]
@@ -62,7 +63,7 @@
 	return t
 }
 
-func (s *steady) step() {
+func (s *steadyCell) step() {
 	s.buf = s.cell.Step(s.now, s.buf[:0])
 	for _, d := range s.buf {
 		if d.Op == OpStart {
@@ -71,8 +72,8 @@
 	}
 }
 
-// turn ends one task, takes in one, and decides.
-func (s *steady) turn() {
+// cycle ends one task, submits one, and runs a step.
+func (s *steadyCell) cycle() {
 	s.now += time.Millisecond
 	i := s.rng.IntN(len(s.running))
 	s.cell.Finish(s.running[i], s.now)
@@ -80,27 +81,27 @@
 	s.running = s.running[:len(s.running)-1]
 	t := s.task()
 	if t.Call {
-		s.cell.CallArrived(t.Demand, s.now)
+		s.cell.RecordCallArrival(t.Demand, s.now)
 	}
 	s.cell.Submit(t, s.now)
 	s.step()
 }
 
-// BenchmarkDecision times one turn of a cell in its steady state: a task ends,
-// one comes in, and the cell decides.
+// BenchmarkDecision times one cycle of a cell in steady state: a task ends, one is submitted,
+// and the cell decides.
 func BenchmarkDecision(b *testing.B) {
 	for _, n := range benchSizes {
 		b.Run(fmt.Sprintf("workers=%d", n), func(b *testing.B) {
-			s := newSteady(n)
+			s := newSteadyCell(n)
 			for range 20000 {
-				s.turn()
+				s.cycle()
 			}
 			h := hdrhistogram.New(1, int64(time.Second), 3)
 			b.ReportAllocs()
 			b.ResetTimer()
 			for range b.N {
 				began := time.Now()
-				s.turn()
+				s.cycle()
 				_ = h.RecordValue(int64(time.Since(began)))
 			}
 			b.StopTimer()
@@ -112,14 +113,14 @@
 	}
 }
 
-// BenchmarkBurst takes in 5,000 calls at once and decides on all of them.
+// BenchmarkBurst submits 5,000 calls at once and decides on all of them.
 func BenchmarkBurst(b *testing.B) {
 	const burst = 5000
 	for _, n := range []int{375, 6000} {
 		b.Run(fmt.Sprintf("workers=%d", n), func(b *testing.B) {
 			for range b.N {
 				b.StopTimer()
-				s := newSteady(n)
+				s := newSteadyCell(n)
 				b.StartTimer()
 				for range burst {
 					t := s.mix[0]
@@ -133,15 +134,15 @@
 	}
 }
 
-// contenders are the policies that are measured side by side.
-var contenders = []struct {
+// comparedPolicies are the policies that are measured side by side.
+var comparedPolicies = []struct {
 	name string
 	make func(workers int, capacity Vec) policy
 }{
 	{"dewpass", func(n int, c Vec) policy { return newCell(n, c) }},
 	{"first-come-first-fit", withRule(fcfs)},
-	{"random-of-two", withRule(twoRules)},
-	{"strict-priority", withRule(strict)},
+	{"random-of-two", withRule(randomTwo)},
+	{"strict-priority", withRule(strictPriority)},
 	{"best-fit-decreasing", withRule(decreasing)},
 }
 
@@ -155,9 +156,9 @@
 	}
 }
 
-// BenchmarkPolicy drives both users' mixes through every policy for a minute
-// of virtual time, and reports waits, packing and missed deadlines. The bound
-// of an omniscient policy is a wait of nothing.
+// BenchmarkPolicy runs the workload mixes of both users through every policy for a minute of
+// virtual time, and reports waits, packing and missed deadlines. The lower bound, which an
+// omniscient policy would reach, is a wait of zero.
 func BenchmarkPolicy(b *testing.B) {
 	mixes := []struct {
 		name     string
@@ -165,7 +166,7 @@
 		capacity Vec
 	}{{"comhar", comhar, comharWorker}, {"kartvela", kartvela, kartvelaWorker}}
 	for _, m := range mixes {
-		for _, c := range contenders {
+		for _, c := range comparedPolicies {
 			b.Run(m.name+"/"+c.name, func(b *testing.B) {
 				var o *outcome
 				for range b.N {
@@ -180,7 +181,7 @@
 					}
 				}
 				b.ReportMetric(100*o.busy, "packed-%")
-				b.ReportMetric(float64(o.yields), "yields")
+				b.ReportMetric(float64(o.preemptions), "yields")
 			})
 		}
 	}
--- a/sched/cell.go
+++ b/sched/cell.go
@@ -4,31 +4,31 @@
 
 import "time"
 
-// Op says what a Decision asks for.
+// Op is the operation that a Decision asks for.
 type Op uint8
 
-// The decisions.
+// The operations.
 const (
 	// OpStart starts a waiting task on a worker.
 	OpStart Op = iota
-	// OpThrottle takes processor time from a running task.
+	// OpThrottle reduces the processor time of a running task.
 	OpThrottle
-	// OpResume gives a throttled task its processor time back.
+	// OpResume restores the full processor time of a throttled task.
 	OpResume
-	// OpCheckpoint saves and stops a running task, which then waits again.
+	// OpCheckpoint saves and stops a running task, which is then queued again.
 	OpCheckpoint
-	// OpStop stops a running task, which then waits again.
+	// OpStop stops a running task, which is then queued again.
 	OpStop
-	// OpExpire gives up a waiting task that can no longer start in time.
+	// OpExpire drops a waiting task that can no longer start in time.
 	OpExpire
 )
 
-// String returns the name of o.
+// String returns the name of the operation.
 func (o Op) String() string {
 	return [...]string{"start", "throttle", "resume", "checkpoint", "stop", "expire"}[o]
 }
 
-// Decision is one thing for the caller to do.
+// Decision is one operation for the caller to carry out.
 type Decision struct {
 	Op     Op
 	Task   Handle
@@ -36,63 +36,65 @@
 	Worker WorkerID
 }
 
-// Team is what a team may use.
+// Team holds the quota and the usage of a team.
 type Team struct {
 	// Quota is what the team is entitled to.
 	Quota Vec
-	// Borrow lets the team use more while nobody below quota waits.
+	// Borrow lets the team exceed its quota while no team below its own quota waits.
 	Borrow bool
 	used   Vec
 	share  float64
 	set    bool
 }
 
-// Config holds the bounds of a Cell. Its zero value is usable: see the
-// defaults beside each field.
+// Config holds the limits of a Cell. Its zero value selects the defaults.
 type Config struct {
-	// QueueLimit bounds the waiting calls; 0 is DefaultQueueLimit.
+	// QueueLimit is the number of waiting tasks at which Admit refuses further ones; 0 means
+	// DefaultQueueLimit.
 	QueueLimit int
-	// MinRun is how long a task runs before it may be made to yield; 0 is
-	// DefaultMinRun.
+	// MinRun is how long a task runs before it may be preempted; 0 means DefaultMinRun.
 	MinRun time.Duration
-	// MaxYields is how often one task yields before it is left alone; 0 is
-	// DefaultMaxYields.
-	MaxYields uint8
+	// MaxPreemptions is how often one task may be preempted; 0 means DefaultMaxPreemptions.
+	MaxPreemptions uint8
 }
 
-// The defaults of Config.
+// Defaults of Config.
 const (
-	DefaultQueueLimit = 2048
-	DefaultMinRun     = 200 * time.Millisecond
-	DefaultMaxYields  = 8
+	DefaultQueueLimit     = 2048
+	DefaultMinRun         = 200 * time.Millisecond
+	DefaultMaxPreemptions = 8
 )
 
-// Cell is the state of one owner. Its zero value is an empty cell.
+// Cell is the scheduling state of one owner: its workers, teams, waiting and running tasks. The
+// zero value is an empty cell.
 type Cell struct {
 	Pool
-	Config  Config
-	reserve Reserve
-
-	teams   []Team
-	slots   []slot
-	spare   []int32
-	running [][]int32
-	later   heap
-	waiting [numClasses]classQueue
-	drained [numClasses]rate
-	seq     uint64
-	calls   int64
-	count   int
-	misfits []Vec
-	retries []entry
-	skipped []bool
-	// health is that of each worker, typical that of all of them.
-	health    []health
-	typical   health
-	slowCount int
+	Config      Config
+	callReserve CallReserve
+
+	teams        []Team
+	records      []taskRecord
+	freeRecords  []int32
+	running      [][]int32
+	deferred     heap
+	waiting      [numClasses]classQueue
+	finishRate   [numClasses]decayingRate
+	seq          uint64
+	runningCalls int64
+	runningCount int
+	// unplaceable, passedOver and skippedTeams are the scratch space of a step: demands that did
+	// not fit, entries to put back into their queue, and teams without a task that fits.
+	unplaceable  []Vec
+	passedOver   []queueEntry
+	skippedTeams []bool
+	// latency holds the call latencies of each worker, overallLatency those of all workers
+	// together.
+	latency        []latencyStats
+	overallLatency latencyStats
+	slowCount      int
 }
 
-// SetTeam says what a team may use from now on.
+// SetTeam sets the quota of a team and whether it may borrow beyond it.
 func (c *Cell) SetTeam(id TeamID, quota Vec, borrow bool) {
 	for int(id) >= len(c.teams) {
 		c.teams = append(c.teams, Team{})
@@ -102,7 +104,7 @@
 	t.share = t.used.Share(t.Quota)
 }
 
-// TeamShare returns the dominant share that a team uses of its quota.
+// TeamShare returns the dominant share of its quota that a team uses.
 func (c *Cell) TeamShare(id TeamID) float64 {
 	if int(id) >= len(c.teams) {
 		return 0
@@ -111,232 +113,230 @@
 }
 
 // Running returns the number of running tasks.
-func (c *Cell) Running() int { return c.count }
+func (c *Cell) Running() int { return c.runningCount }
 
 // Waiting returns the number of tasks of a class that wait to start.
-func (c *Cell) Waiting(class Class) int { return c.waiting[class].live }
+func (c *Cell) Waiting(class Class) int { return c.waiting[class].liveCount }
 
 // Queued returns the number of tasks of all classes that wait to start.
 func (c *Cell) Queued() int {
 	n := 0
 	for i := range c.waiting {
-		n += c.waiting[i].live
+		n += c.waiting[i].liveCount
 	}
 	return n
 }
 
-// Get returns the task behind h and the worker that runs it, or NoWorker.
+// Get returns the task for h and the worker that runs it, or NoWorker while it waits.
 func (c *Cell) Get(h Handle) (Task, WorkerID, bool) {
-	s := c.slot(h)
-	if s == nil {
+	r := c.record(h)
+	if r == nil {
 		return Task{}, NoWorker, false
 	}
-	return s.Task, s.worker, true
+	return r.Task, r.worker, true
 }
 
-func (c *Cell) slot(h Handle) *slot {
-	if h.gen == 0 || int(h.index) >= len(c.slots) {
+func (c *Cell) record(h Handle) *taskRecord {
+	if h.gen == 0 || int(h.index) >= len(c.records) {
 		return nil
 	}
-	s := &c.slots[h.index]
-	if s.gen != h.gen || s.state == taskFree {
+	r := &c.records[h.index]
+	if r.gen != h.gen || r.state == taskUnused {
 		return nil
 	}
-	return s
+	return r
 }
 
-func (c *Cell) insert(t Task) Handle {
+func (c *Cell) addRecord(t Task) Handle {
 	var i int32
-	if n := len(c.spare); n > 0 {
-		i = c.spare[n-1]
-		c.spare = c.spare[:n-1]
+	if n := len(c.freeRecords); n > 0 {
+		i = c.freeRecords[n-1]
+		c.freeRecords = c.freeRecords[:n-1]
 	} else {
-		c.slots = append(c.slots, slot{})
-		i = int32(len(c.slots) - 1)
+		c.records = append(c.records, taskRecord{})
+		i = int32(len(c.records) - 1)
 	}
-	s := &c.slots[i]
-	gen := s.gen + 1
-	*s = slot{Task: t, gen: gen, worker: NoWorker, hold: NoWorker}
+	r := &c.records[i]
+	gen := r.gen + 1
+	*r = taskRecord{Task: t, gen: gen, worker: NoWorker, heldWorker: NoWorker}
 	for int(t.Team) >= len(c.teams) {
 		c.teams = append(c.teams, Team{Borrow: true})
 	}
 	return Handle{index: i, gen: gen}
 }
 
-func (c *Cell) release(h Handle) {
-	s := &c.slots[h.index]
-	s.state = taskFree
-	c.spare = append(c.spare, h.index)
+func (c *Cell) freeRecord(h Handle) {
+	r := &c.records[h.index]
+	r.state = taskUnused
+	c.freeRecords = append(c.freeRecords, h.index)
 }
 
-// Submit takes a task in to wait, without an admission check.
+// Submit queues a task without an admission check.
 func (c *Cell) Submit(t Task, now time.Duration) Handle {
-	h := c.insert(t)
-	s := &c.slots[h.index]
-	s.since = now
-	c.enqueue(h, s, now)
+	h := c.addRecord(t)
+	r := &c.records[h.index]
+	r.queuedAt = now
+	c.enqueue(h, r, now)
 	return h
 }
 
-// CallArrived tells the reserve of a call, whether it was admitted or not.
-func (c *Cell) CallArrived(demand Vec, now time.Duration) {
-	if c.reserve.Arrived(demand, now) {
-		c.setUnit(c.reserve.unit)
+// RecordCallArrival counts a call, admitted or not, towards the capacity reserved for calls.
+func (c *Cell) RecordCallArrival(demand Vec, now time.Duration) {
+	if c.callReserve.RecordArrival(demand, now) {
+		c.setCallUnit(c.callReserve.unit)
 	}
 }
 
-func (c *Cell) enqueue(h Handle, s *slot, now time.Duration) {
+func (c *Cell) enqueue(h Handle, r *taskRecord, now time.Duration) {
 	c.seq++
-	s.seq = c.seq
-	if s.NotBefore > now {
-		s.state = taskLater
-		c.later.push(entry{handle: h, key: s.NotBefore, seq: s.seq})
+	r.seq = c.seq
+	if r.NotBefore > now {
+		r.state = taskDeferred
+		c.deferred.push(queueEntry{handle: h, key: r.NotBefore, seq: r.seq})
 		return
 	}
-	s.state = taskWaiting
-	c.waiting[s.Class].push(s.Team, entry{handle: h, key: s.slack(), seq: s.seq})
+	r.state = taskWaiting
+	c.waiting[r.Class].push(r.Team, queueEntry{handle: h, key: r.latestStart(), seq: r.seq})
 }
 
-// Cancel takes a waiting task out. It reports false when the task does not
-// wait, which includes that it runs.
+// Cancel removes a waiting task. It returns false if the task does not wait, for example
+// because it already runs.
 func (c *Cell) Cancel(h Handle) bool {
-	s := c.slot(h)
-	if s == nil || s.state == taskRunning {
+	r := c.record(h)
+	if r == nil || r.state == taskRunning {
 		return false
 	}
-	if s.state == taskWaiting {
-		c.waiting[s.Class].gone(s.Team)
+	if r.state == taskWaiting {
+		c.waiting[r.Class].removeLive(r.Team)
 	}
-	c.unhold(s)
-	c.release(h)
+	c.releaseHold(r)
+	c.freeRecord(h)
 	return true
 }
 
-// TryStart places a task at once or not at all, past the queue. It is the path
-// of calls that find room, and gives false while tasks of the same or a higher
-// class wait.
+// TryStart starts a task at once, without queueing it, or returns false. It is the fast path of
+// calls. It also returns false while tasks of the same or a higher class wait.
 func (c *Cell) TryStart(t Task, now time.Duration) (Handle, WorkerID, bool) {
 	for class := t.Class; class < numClasses; class++ {
-		if c.waiting[class].live > 0 {
+		if c.waiting[class].liveCount > 0 {
 			return Handle{}, NoWorker, false
 		}
 	}
-	if c.overLimit(&t) {
+	if c.exceedsQuota(&t) {
 		return Handle{}, NoWorker, false
 	}
-	q := c.query(&t, Handle{}, now)
+	q := c.newQuery(&t, Handle{}, now)
 	w := c.find(&q)
 	if w == NoWorker {
 		return Handle{}, NoWorker, false
 	}
-	h := c.insert(t)
-	c.run(h, w, now)
+	h := c.addRecord(t)
+	c.beginRun(h, w, now)
 	return h, w, true
 }
 
-// Adopt takes in a task that already runs on w.
+// Adopt adds a task that already runs on w.
 func (c *Cell) Adopt(t Task, w WorkerID, now time.Duration) Handle {
-	h := c.insert(t)
-	c.run(h, w, now)
+	h := c.addRecord(t)
+	c.beginRun(h, w, now)
 	return h
 }
 
-// Finish takes a running task out and gives its room back.
+// Finish removes a running task and releases its resources.
 func (c *Cell) Finish(h Handle, now time.Duration) {
-	s := c.slot(h)
-	if s == nil || s.state != taskRunning {
+	r := c.record(h)
+	if r == nil || r.state != taskRunning {
 		return
 	}
-	if s.Call {
-		c.reserve.Finished(now - s.started)
-		c.observe(s.worker, s, now)
+	if r.Call {
+		c.callReserve.RecordDuration(now - r.startedAt)
+		c.observeLatency(r.worker, r, now)
 	}
-	c.drained[s.Class].add(1, now)
-	c.halt(s)
-	c.release(h)
+	c.finishRate[r.Class].add(1, now)
+	c.endRun(r)
+	c.freeRecord(h)
 }
 
-// Requeue makes a running task wait again, after it yielded or its start was
-// refused.
+// Requeue makes a running task wait again, after it was preempted or its start was refused.
 func (c *Cell) Requeue(h Handle, now time.Duration) {
-	s := c.slot(h)
-	if s == nil || s.state != taskRunning {
+	r := c.record(h)
+	if r == nil || r.state != taskRunning {
 		return
 	}
-	c.halt(s)
-	s.yielding, s.throttled = false, false
-	c.enqueue(h, s, now)
+	c.endRun(r)
+	r.preempting, r.throttled = false, false
+	c.enqueue(h, r, now)
 }
 
-// Saved tells of a checkpoint of a running task.
-func (c *Cell) Saved(h Handle, now time.Duration) {
-	if s := c.slot(h); s != nil {
-		s.saved = now
+// RecordCheckpoint notes that a running task has saved a checkpoint.
+func (c *Cell) RecordCheckpoint(h Handle, now time.Duration) {
+	if r := c.record(h); r != nil {
+		r.checkpointedAt = now
 	}
 }
 
-func (c *Cell) run(h Handle, w WorkerID, now time.Duration) {
-	s := &c.slots[h.index]
-	s.state = taskRunning
-	s.worker = w
-	s.started, s.saved = now, now
-	s.given = s.Demand
-	s.yielding, s.throttled = false, false
+func (c *Cell) beginRun(h Handle, w WorkerID, now time.Duration) {
+	r := &c.records[h.index]
+	r.state = taskRunning
+	r.worker = w
+	r.startedAt, r.checkpointedAt = now, now
+	r.allocated = r.Demand
+	r.preempting, r.throttled = false, false
 	for int(w) >= len(c.running) {
 		c.running = append(c.running, nil)
 	}
-	s.place = int32(len(c.running[w]))
+	r.runningIndex = int32(len(c.running[w]))
 	c.running[w] = append(c.running[w], h.index)
-	c.Take(w, s.given)
-	c.join(w, s.Group, 1)
-	c.charge(s.Team, s.given)
-	c.count++
-	if s.Call {
-		c.calls++
+	c.Allocate(w, r.allocated)
+	c.addGroupMembers(w, r.Group, 1)
+	c.chargeTeam(r.Team, r.allocated)
+	c.runningCount++
+	if r.Call {
+		c.runningCalls++
 	}
-	c.unhold(s)
+	c.releaseHold(r)
 }
 
-func (c *Cell) halt(s *slot) {
-	w := s.worker
+func (c *Cell) endRun(r *taskRecord) {
+	w := r.worker
 	list := c.running[w]
 	last := len(list) - 1
-	list[s.place] = list[last]
-	c.slots[list[s.place]].place = s.place
+	list[r.runningIndex] = list[last]
+	c.records[list[r.runningIndex]].runningIndex = r.runningIndex
 	c.running[w] = list[:last]
-	c.Give(w, s.given)
-	c.join(w, s.Group, -1)
-	c.charge(s.Team, Vec{}.Sub(s.given))
-	c.count--
-	if s.Call {
-		c.calls--
+	c.Release(w, r.allocated)
+	c.addGroupMembers(w, r.Group, -1)
+	c.chargeTeam(r.Team, Vec{}.Sub(r.allocated))
+	c.runningCount--
+	if r.Call {
+		c.runningCalls--
 	}
-	s.worker = NoWorker
+	r.worker = NoWorker
 }
 
-func (c *Cell) charge(id TeamID, d Vec) {
+func (c *Cell) chargeTeam(id TeamID, d Vec) {
 	t := &c.teams[id]
 	t.used = t.used.Add(d)
 	t.share = t.used.Share(t.Quota)
 }
 
-// query returns the search for a worker for t. Work that is not a call must
-// leave the units of the reserve.
-func (c *Cell) query(t *Task, asker Handle, now time.Duration) query {
+// newQuery returns the query that finds a worker for t. Work other than calls must leave the
+// capacity reserved for calls free.
+func (c *Cell) newQuery(t *Task, asker Handle, now time.Duration) query {
 	q := query{
 		demand: t.Demand, rack: t.Rack, strategy: strategyOf(t),
-		group: t.Group, asker: asker, call: t.Call,
+		group: t.Group, requester: asker, call: t.Call,
 	}
-	if !t.Call && !c.unit.IsZero() {
-		q.bounded = true
-		q.sparing = c.totalUnits - c.reserve.more(now, c.calls)
+	if !t.Call && !c.callUnit.IsZero() {
+		q.keepReserve = true
+		q.maxUnitsLost = c.totalFreeUnits - c.callReserve.shortfall(now, c.runningCalls)
 	}
 	return q
 }
 
-// overLimit reports whether t would take a team that may not borrow past its
-// quota.
-func (c *Cell) overLimit(t *Task) bool {
+// exceedsQuota reports whether starting t would take its team above its quota although the team
+// may not borrow.
+func (c *Cell) exceedsQuota(t *Task) bool {
 	if int(t.Team) >= len(c.teams) {
 		return false
 	}
@@ -354,8 +354,8 @@
 	return Pack
 }
 
-// SetReserveFloor sets the least number of calls that room is kept for.
-func (c *Cell) SetReserveFloor(n int64) { c.reserve.Floor = n }
+// SetReserveFloor sets the least number of concurrent calls for which capacity is reserved.
+func (c *Cell) SetReserveFloor(n int64) { c.callReserve.Floor = n }
 
 // RunningOn returns the number of tasks that run on w.
 func (c *Cell) RunningOn(w WorkerID) int {
@@ -365,14 +365,14 @@
 	return len(c.running[w])
 }
 
-// Remove takes a worker out. The caller has finished or moved its tasks.
+// Remove removes a worker. The caller must have finished or moved its tasks.
 func (c *Cell) Remove(w WorkerID) {
 	if c.slow[w] {
 		c.slow[w] = false
 		c.slowCount--
 	}
-	if int(w) < len(c.health) {
-		c.health[w] = health{}
+	if int(w) < len(c.latency) {
+		c.latency[w] = latencyStats{}
 	}
 	c.Pool.Remove(w)
 }
--- a/sched/drive_test.go
+++ b/sched/drive_test.go
@@ -9,19 +9,18 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// This file holds a small driver with a virtual clock: it feeds a policy a
-// seeded list of arrivals and measures what comes of it. It is no simulator of
-// a cluster: a task takes as long as it is said to, and nothing fails but what
-// a run says.
+// This file holds a small driver with a virtual clock. It feeds a policy a seeded sequence of
+// arrivals and measures the result. It does not simulate a cluster: a task takes as long as its
+// source says, and nothing fails unless a test says so.
 
-// source is one kind of work as it arrives.
+// source is a stream of arrivals of one kind of work.
 type source struct {
 	name     string
 	task     Task
 	rate     float64 // arrivals a second
 	length   time.Duration
 	deadline time.Duration // relative to the arrival; 0 is none
-	// peak multiplies the rate between two times; 0 leaves it.
+	// peak multiplies the rate between peakFrom and peakTo; 0 means no peak.
 	peak       float64
 	peakFrom   time.Duration
 	peakTo     time.Duration
@@ -35,33 +34,33 @@
 	return s.rate
 }
 
-// item is one arrival.
-type item struct {
-	source *source
-	at     time.Duration
-	task   Task
-	left   time.Duration
-	since  time.Duration // when it last began to run
-	speed  float64
-	handle Handle
-	worker WorkerID
-	begun  bool
-	first  time.Duration
-	gen    int
+// arrival is one task that arrived, with its progress.
+type arrival struct {
+	source       *source
+	arrivedAt    time.Duration
+	task         Task
+	remaining    time.Duration
+	runningSince time.Duration // when it last began to run
+	speed        float64
+	handle       Handle
+	worker       WorkerID
+	started      bool
+	firstStart   time.Duration
+	gen          int
 }
 
-// policy places what arrives. The cell and every baseline are one.
+// policy places arriving tasks. The cell and every baseline implement it.
 type policy interface {
 	addWorker(capacity Vec)
-	arrive(ref uint64, it *item, now time.Duration) bool
+	arrive(ref uint64, it *arrival, now time.Duration) bool
 	decide(now time.Duration, out []Decision) []Decision
-	finish(ref uint64, it *item, now time.Duration)
-	yielded(ref uint64, it *item, op Op, now time.Duration)
+	finish(ref uint64, it *arrival, now time.Duration)
+	preempted(ref uint64, it *arrival, op Op, now time.Duration)
 	waiting() int
 	used() (used, whole Vec)
 }
 
-// outcome is what came of a run.
+// outcome holds the measurements of a run.
 type outcome struct {
 	waits    map[string]*hdrhistogram.Histogram // microseconds
 	arrived  map[string]int
@@ -69,12 +68,12 @@
 	refused  map[string]int
 	missed   map[string]int
 	finished map[string]int
-	// busy is the share of the scarcest resource in use while work waited.
-	busy      float64
-	busyTime  time.Duration
-	busyArea  float64
-	decisions int
-	yields    int
+	// busy is the share of the scarcest resource that was in use while tasks waited.
+	busy        float64
+	busyTime    time.Duration
+	busyArea    float64
+	decisions   int
+	preemptions int
 }
 
 func newOutcome(sources []source) *outcome {
@@ -94,7 +93,7 @@
 	evArrive eventKind = iota
 	evRetry
 	evFinish
-	evYielded
+	evPreempted
 )
 
 type event struct {
@@ -107,7 +106,7 @@
 	src  int
 }
 
-// events is a binary heap by time, then by order of entry.
+// events is a binary heap ordered by time, then by order of entry.
 type events []event
 
 func (h events) less(i, j int) bool {
@@ -148,32 +147,32 @@
 
 // driver runs one policy.
 type driver struct {
-	policy  policy
-	sources []source
-	rng     *rand.Rand
-	queue   events
-	seq     uint64
-	items   map[uint64]*item
-	refs    uint64
-	out     *outcome
-	now     time.Duration
-	last    time.Duration
-	buf     []Decision
-	// slow makes tasks on a worker take so many times as long.
-	slow map[WorkerID]float64
-	// storm makes refused callers come back at once.
-	storm bool
+	policy      policy
+	sources     []source
+	rng         *rand.Rand
+	queue       events
+	seq         uint64
+	items       map[uint64]*arrival
+	lastRef     uint64
+	out         *outcome
+	now         time.Duration
+	accountedAt time.Duration
+	buf         []Decision
+	// slowdown multiplies the duration of tasks by worker.
+	slowdown map[WorkerID]float64
+	// retryAtOnce makes callers come back right after a refusal.
+	retryAtOnce bool
 	// placed counts the starts on each worker.
 	placed map[WorkerID]int
 }
 
-// stormPause is how soon a caller comes back that ignores Retry-After.
-const stormPause = 20 * time.Millisecond
+// immediateRetryDelay is the delay after which a caller that ignores Retry-After comes back.
+const immediateRetryDelay = 20 * time.Millisecond
 
-// yieldTime is how long a worker takes to throttle, save or stop a task.
-const yieldTime = 5 * time.Millisecond
+// preemptionTime is how long a worker takes to throttle, checkpoint or stop a task.
+const preemptionTime = 5 * time.Millisecond
 
-// drive runs the sources against a policy for the given time.
+// drive runs a policy on the sources for the given virtual time.
 func drive(p policy, sources []source, length time.Duration, seed uint64) *outcome {
 	return newDriver(p, sources, seed).run(length)
 }
@@ -181,7 +180,7 @@
 func newDriver(p policy, sources []source, seed uint64) *driver {
 	return &driver{
 		policy: p, sources: sources, rng: rand.New(rand.NewPCG(seed, 7)),
-		items: map[uint64]*item{}, out: newOutcome(sources), placed: map[WorkerID]int{},
+		items: map[uint64]*arrival{}, out: newOutcome(sources), placed: map[WorkerID]int{},
 	}
 }
 
@@ -192,7 +191,7 @@
 	for len(d.queue) > 0 && d.queue[0].at <= length {
 		e := d.queue.pop()
 		d.now = e.at
-		d.account()
+		d.accountBusy()
 		d.handle(e)
 		d.decide()
 	}
@@ -202,10 +201,10 @@
 	return d.out
 }
 
-// account adds the time since the last event, if work waited in it.
-func (d *driver) account() {
-	span := d.now - d.last
-	d.last = d.now
+// accountBusy adds the time since the last event to the busy time if tasks waited.
+func (d *driver) accountBusy() {
+	span := d.now - d.accountedAt
+	d.accountedAt = d.now
 	if d.policy.waiting() == 0 {
 		return
 	}
@@ -244,31 +243,31 @@
 		d.finish(e.ref, it)
 		return
 	}
-	d.yielded(e.ref, it, e.op)
+	d.preempted(e.ref, it, e.op)
 }
 
 func (d *driver) arrive(src int) {
 	s := &d.sources[src]
-	d.refs++
-	it := &item{source: s, at: d.now, task: s.task, worker: NoWorker, speed: 1}
-	it.left = time.Duration((0.5 + d.rng.Float64()) * float64(s.length))
-	it.task.Ref = d.refs
+	d.lastRef++
+	it := &arrival{source: s, arrivedAt: d.now, task: s.task, worker: NoWorker, speed: 1}
+	it.remaining = time.Duration((0.5 + d.rng.Float64()) * float64(s.length))
+	it.task.Ref = d.lastRef
 	it.task.Estimate = s.length
 	if s.deadline > 0 {
 		it.task.Deadline = d.now + s.deadline
 	}
 	d.out.arrived[s.name]++
-	if !d.policy.arrive(d.refs, it, d.now) {
+	if !d.policy.arrive(d.lastRef, it, d.now) {
 		d.out.refused[s.name]++
-		if d.storm {
-			d.push(event{at: d.now + stormPause, kind: evRetry, src: src})
+		if d.retryAtOnce {
+			d.push(event{at: d.now + immediateRetryDelay, kind: evRetry, src: src})
 		}
 		return
 	}
-	d.items[d.refs] = it
+	d.items[d.lastRef] = it
 }
 
-func (d *driver) finish(ref uint64, it *item) {
+func (d *driver) finish(ref uint64, it *arrival) {
 	name := it.source.name
 	d.out.finished[name]++
 	if it.task.Deadline > 0 && d.now > it.task.Deadline {
@@ -278,33 +277,33 @@
 	delete(d.items, ref)
 }
 
-// settle takes off what a running task has done so far.
-func (d *driver) settle(it *item) {
-	it.left -= time.Duration(float64(d.now-it.since) * it.speed)
-	it.left = max(it.left, 0)
-	it.since = d.now
+// updateRemaining subtracts the work done since the task last started or changed speed.
+func (d *driver) updateRemaining(it *arrival) {
+	it.remaining -= time.Duration(float64(d.now-it.runningSince) * it.speed)
+	it.remaining = max(it.remaining, 0)
+	it.runningSince = d.now
 	it.gen++
 }
 
-func (d *driver) resume(ref uint64, it *item) {
-	took := time.Duration(float64(it.left) / it.speed)
+func (d *driver) scheduleFinish(ref uint64, it *arrival) {
+	took := time.Duration(float64(it.remaining) / it.speed)
 	d.push(event{at: d.now + took, kind: evFinish, ref: ref, gen: it.gen})
 }
 
-func (d *driver) yielded(ref uint64, it *item, op Op) {
-	d.settle(it)
+func (d *driver) preempted(ref uint64, it *arrival, op Op) {
+	d.updateRemaining(it)
 	if op == OpThrottle {
-		it.speed = 1.0 / throttledShare
-		d.policy.yielded(ref, it, op, d.now)
-		d.resume(ref, it)
+		it.speed = 1.0 / throttleDivisor
+		d.policy.preempted(ref, it, op, d.now)
+		d.scheduleFinish(ref, it)
 		return
 	}
 	if op == OpStop {
-		it.left = it.source.length
+		it.remaining = it.source.length
 	}
 	it.worker = NoWorker
 	it.speed = 1
-	d.policy.yielded(ref, it, op, d.now)
+	d.policy.preempted(ref, it, op, d.now)
 }
 
 func (d *driver) decide() {
@@ -322,47 +321,47 @@
 			d.out.refused[it.source.name]++
 			delete(d.items, dec.Ref)
 		case OpResume:
-			d.settle(it)
+			d.updateRemaining(it)
 			it.speed = 1
-			d.resume(dec.Ref, it)
+			d.scheduleFinish(dec.Ref, it)
 		default:
-			d.out.yields++
-			d.push(event{at: d.now + yieldTime, kind: evYielded, ref: dec.Ref, gen: it.gen, op: dec.Op})
+			d.out.preemptions++
+			d.push(event{at: d.now + preemptionTime, kind: evPreempted, ref: dec.Ref, gen: it.gen, op: dec.Op})
 		}
 	}
 }
 
-func (d *driver) begin(ref uint64, it *item, w WorkerID) {
+func (d *driver) begin(ref uint64, it *arrival, w WorkerID) {
 	it.worker = w
-	it.since = d.now
-	if !it.begun {
-		it.begun = true
-		it.first = d.now
+	it.runningSince = d.now
+	if !it.started {
+		it.started = true
+		it.firstStart = d.now
 		d.out.started[it.source.name]++
-		wait := (d.now - it.at).Microseconds()
+		wait := (d.now - it.arrivedAt).Microseconds()
 		_ = d.out.waits[it.source.name].RecordValue(max(wait, 1))
 	}
 	it.gen++
 	it.speed = 1
-	if f := d.slow[w]; f > 0 {
+	if f := d.slowdown[w]; f > 0 {
 		it.speed = 1 / f
 	}
 	d.placed[w]++
-	d.resume(ref, it)
+	d.scheduleFinish(ref, it)
 }
 
-// cellPolicy is the cell itself.
+// cellPolicy runs the Cell as a policy.
 type cellPolicy struct {
 	cell Cell
 }
 
 func (p *cellPolicy) addWorker(capacity Vec) {
-	p.cell.Add(RackID(p.cell.open/8), capacity)
+	p.cell.Add(RackID(p.cell.openCount/8), capacity)
 }
 
-func (p *cellPolicy) arrive(ref uint64, it *item, now time.Duration) bool {
+func (p *cellPolicy) arrive(ref uint64, it *arrival, now time.Duration) bool {
 	if it.task.Call {
-		p.cell.CallArrived(it.task.Demand, now)
+		p.cell.RecordCallArrival(it.task.Demand, now)
 		it.task.StartBy = it.task.Deadline
 		if v, _ := p.cell.Admit(&it.task, now); v != Admitted {
 			return false
@@ -374,14 +373,14 @@
 
 func (p *cellPolicy) decide(now time.Duration, out []Decision) []Decision {
 	out = p.cell.Step(now, out)
-	return p.cell.Resumable(now, out)
+	return p.cell.ResumeThrottled(now, out)
 }
 
-func (p *cellPolicy) finish(_ uint64, it *item, now time.Duration) { p.cell.Finish(it.handle, now) }
+func (p *cellPolicy) finish(_ uint64, it *arrival, now time.Duration) { p.cell.Finish(it.handle, now) }
 
-func (p *cellPolicy) yielded(_ uint64, it *item, op Op, now time.Duration) {
+func (p *cellPolicy) preempted(_ uint64, it *arrival, op Op, now time.Duration) {
 	if op == OpThrottle {
-		p.cell.Throttled(it.handle)
+		p.cell.RecordThrottled(it.handle)
 		return
 	}
 	p.cell.Requeue(it.handle, now)
--- a/sched/health.go
+++ b/sched/health.go
@@ -4,71 +4,74 @@
 
 import "time"
 
-// health follows how long calls take on one worker, against what they were
-// expected to take.
-type health struct {
-	ratio float64
-	calls int
-	// until is the time until which the worker gets no calls; 0 is none.
-	until time.Duration
+// latencyStats tracks how long calls take on a worker, as a moving average of the ratio of
+// actual to expected duration.
+type latencyStats struct {
+	ratio   float64
+	samples int
+	// slowUntil is the time until which the worker gets no calls; 0 if it is not slow.
+	slowUntil time.Duration
 }
 
 const (
-	healthWeight = 0.2
-	// minCalls is how many calls a worker must have finished before it is
-	// judged.
-	minCalls = 8
-	// slowFactor is how much slower than the others a worker must be.
+	latencyWeight = 0.2
+	// minLatencySamples is how many calls a worker must have finished before it can be marked
+	// slow.
+	minLatencySamples = 8
+	// slowFactor is how many times slower than the overall ratio a worker must be to be marked
+	// slow.
 	slowFactor = 4
-	// slowTime is how long a slow worker gets no calls. It is judged afresh
-	// after that.
-	slowTime = 10 * time.Second
-	// maxSlowShare bounds the workers that get no calls, as one in this many:
-	// when more are slow, the cause is not the workers.
-	maxSlowShare = 8
+	// slowDuration is how long a slow worker gets no calls. Its statistics start afresh after
+	// that.
+	slowDuration = 10 * time.Second
+	// slowWorkerDivisor limits the workers that are marked slow to 1/slowWorkerDivisor of the
+	// open ones: if more are slow, the cause is not the workers.
+	slowWorkerDivisor = 8
 )
 
-// observe takes in how long a call took on w. A worker that is much slower
-// than the others gets no calls for a while, so that they do not pile up there.
-func (c *Cell) observe(w WorkerID, s *slot, now time.Duration) {
-	if s.Estimate <= 0 {
+// observeLatency records how long a call took on w. A worker that is much slower than the
+// others gets no calls for a while, so that calls do not pile up there.
+func (c *Cell) observeLatency(w WorkerID, r *taskRecord, now time.Duration) {
+	if r.Estimate <= 0 {
 		return
 	}
-	for int(w) >= len(c.health) {
-		c.health = append(c.health, health{})
+	for int(w) >= len(c.latency) {
+		c.latency = append(c.latency, latencyStats{})
 	}
-	ratio := (now - s.started).Seconds() / s.Estimate.Seconds()
-	h := &c.health[w]
-	h.calls++
-	h.ratio += weightOf(h.calls) * (ratio - h.ratio)
-	c.typical.calls++
-	c.typical.ratio += weightOf(c.typical.calls) / maxSlowShare * (min(ratio, slowFactor*c.typicalRatio()) - c.typical.ratio)
-	if h.calls < minCalls || h.ratio < slowFactor*c.typicalRatio() {
+	ratio := (now - r.startedAt).Seconds() / r.Estimate.Seconds()
+	h := &c.latency[w]
+	h.samples++
+	h.ratio += sampleWeight(h.samples) * (ratio - h.ratio)
+	c.overallLatency.samples++
+	c.overallLatency.ratio += sampleWeight(c.overallLatency.samples) / slowWorkerDivisor * (min(ratio, slowFactor*c.overallRatio()) - c.overallLatency.ratio)
+	if h.samples < minLatencySamples || h.ratio < slowFactor*c.overallRatio() {
 		return
 	}
-	if !c.slow[w] && (c.slowCount+1)*maxSlowShare <= c.open {
-		h.until = now + slowTime
+	if !c.slow[w] && (c.slowCount+1)*slowWorkerDivisor <= c.openCount {
+		h.slowUntil = now + slowDuration
 		c.slow[w] = true
 		c.slowCount++
 	}
 }
 
-// weightOf lets the first observations count for more than later ones.
-func weightOf(n int) float64 { return max(healthWeight, 1/float64(n)) }
+// sampleWeight returns the weight of the nth sample in the moving average. The first samples
+// weigh more than later ones.
+func sampleWeight(n int) float64 { return max(latencyWeight, 1/float64(n)) }
 
-// typicalRatio is what calls take on all workers, against expectation.
-func (c *Cell) typicalRatio() float64 { return max(c.typical.ratio, 0.1) }
+// overallRatio returns the ratio of actual to expected call duration over all workers, at least
+// 0.1.
+func (c *Cell) overallRatio() float64 { return max(c.overallLatency.ratio, 0.1) }
 
-// recoverSlow lets workers have calls again whose time is over.
-func (c *Cell) recoverSlow(now time.Duration) {
+// resetSlow lets workers take calls again once their slowDuration has passed.
+func (c *Cell) resetSlow(now time.Duration) {
 	if c.slowCount == 0 {
 		return
 	}
-	for w := range c.health {
-		if c.slow[w] && now >= c.health[w].until {
+	for w := range c.latency {
+		if c.slow[w] && now >= c.latency[w].slowUntil {
 			c.slow[w] = false
 			c.slowCount--
-			c.health[w] = health{}
+			c.latency[w] = latencyStats{}
 		}
 	}
 }
--- a/sched/plot_test.go
+++ b/sched/plot_test.go
@@ -17,8 +17,8 @@
 
 var plots = flag.String("plots", "", "folder that the plots are written to")
 
-// BenchmarkPlots draws waits and packing by load for every policy, if the flag
-// plots says where to.
+// BenchmarkPlots plots waits and packing against load for every policy, into the folder given
+// by the flag plots.
 func BenchmarkPlots(b *testing.B) {
 	if *plots == "" {
 		b.Logf("no plots: flag not set")
@@ -30,21 +30,21 @@
 	waits.X.Label.Text, waits.Y.Label.Text = "batch asked for, share of the cell", "ms"
 	packing.Title.Text = "Kartvela: scarcest resource in use while work waits"
 	packing.X.Label.Text, packing.Y.Label.Text = "work asked for, share of the cell", "%"
-	for i, c := range contenders {
+	for i, c := range comparedPolicies {
 		var w, p plotter.XYs
 		for _, load := range loads {
-			o := drive(c.make(48, comharWorker), scaled(comhar, load, comharWorker), 30*time.Second, 1)
+			o := drive(c.make(48, comharWorker), scaleBatch(comhar, load, comharWorker), 30*time.Second, 1)
 			w = append(w, plotter.XY{X: load, Y: float64(o.waits["shade-lookup"].ValueAtQuantile(99)) / 1000})
-			o = drive(c.make(48, kartvelaWorker), scaled(kartvela, load, kartvelaWorker), 30*time.Second, 1)
+			o = drive(c.make(48, kartvelaWorker), scaleBatch(kartvela, load, kartvelaWorker), 30*time.Second, 1)
 			if o.busyTime > time.Second {
 				p = append(p, plotter.XY{X: load, Y: 100 * o.busy})
 			}
 		}
-		add(b, waits, i, c.name, w)
-		add(b, packing, i, c.name, p)
+		addCurve(b, waits, i, c.name, w)
+		addCurve(b, packing, i, c.name, p)
 	}
 	for name, p := range map[string]*plot.Plot{"waits": waits, "packing": packing} {
-		// The curves of waits rise to the right, those of packing lie high.
+		// The curves of waits rise to the right, those of packing are at the top.
 		p.Legend.Top = name == "waits"
 		p.Legend.Left = name == "waits"
 		file := filepath.Join(*plots, name+".svg")
@@ -55,7 +55,7 @@
 	}
 }
 
-func add(b *testing.B, p *plot.Plot, i int, name string, xy plotter.XYs) {
+func addCurve(b *testing.B, p *plot.Plot, i int, name string, xy plotter.XYs) {
 	if len(xy) == 0 {
 		return
 	}
@@ -69,9 +69,9 @@
 	p.Legend.Add(name, l, s)
 }
 
-// scaled gives the batch of a mix the rate at which all of it asks for a share
-// of the processors of 48 workers.
-func scaled(mix []source, share float64, worker Vec) []source {
+// scaleBatch returns the mix with the rate of its batch tasks set so that all tasks together
+// ask for the given share of the processors of 48 workers.
+func scaleBatch(mix []source, share float64, worker Vec) []source {
 	out := append([]source(nil), mix...)
 	whole := float64(worker[Milli] * 48)
 	var fixed, batch float64
--- a/sched/queue.go
+++ b/sched/queue.go
@@ -4,25 +4,26 @@
 
 import "time"
 
-// entry is a waiting task in a heap, with what orders it.
-type entry struct {
+// queueEntry is a waiting task in a heap, with its sort key. Entries with equal keys are
+// ordered by seq.
+type queueEntry struct {
 	handle Handle
 	key    time.Duration
 	seq    uint64
 }
 
-func (e *entry) before(o *entry) bool {
+func (e *queueEntry) before(o *queueEntry) bool {
 	if e.key != o.key {
 		return e.key < o.key
 	}
 	return e.seq < o.seq
 }
 
-// heap is a binary heap of entries, the earliest first. Entries of tasks that
-// no longer wait are dropped when they reach the top.
-type heap []entry
+// heap is a binary min-heap of entries. Entries of tasks that no longer wait are dropped when
+// they reach the top.
+type heap []queueEntry
 
-func (h *heap) push(e entry) {
+func (h *heap) push(e queueEntry) {
 	*h = append(*h, e)
 	s := *h
 	i := len(s) - 1
@@ -36,17 +37,17 @@
 	}
 }
 
-func (h *heap) pop() entry {
+func (h *heap) pop() queueEntry {
 	s := *h
 	top := s[0]
 	last := len(s) - 1
 	s[0] = s[last]
 	*h = s[:last]
-	h.sink(0)
+	h.siftDown(0)
 	return top
 }
 
-func (h *heap) sink(i int) {
+func (h *heap) siftDown(i int) {
 	s := *h
 	for {
 		least := i
@@ -65,19 +66,19 @@
 
 // teamQueue holds the waiting tasks of one team in one class.
 type teamQueue struct {
-	heap heap
-	live int
+	heap      heap
+	liveCount int
 }
 
 // classQueue holds the waiting tasks of one class.
 type classQueue struct {
 	teams []teamQueue
-	// active lists the teams with entries, in no order.
-	active []TeamID
-	live   int
+	// active lists the teams with entries, in no particular order.
+	active    []TeamID
+	liveCount int
 }
 
-func (q *classQueue) push(team TeamID, e entry) {
+func (q *classQueue) push(team TeamID, e queueEntry) {
 	for int(team) >= len(q.teams) {
 		q.teams = append(q.teams, teamQueue{})
 	}
@@ -86,19 +87,19 @@
 		q.active = append(q.active, team)
 	}
 	t.heap.push(e)
-	t.live++
-	q.live++
+	t.liveCount++
+	q.liveCount++
 }
 
-// gone counts a task out that stopped waiting; its entry stays until it
-// reaches the top.
-func (q *classQueue) gone(team TeamID) {
-	q.teams[team].live--
-	q.live--
+// removeLive uncounts a task that no longer waits. Its entry stays in the heap until it reaches
+// the top.
+func (q *classQueue) removeLive(team TeamID) {
+	q.teams[team].liveCount--
+	q.liveCount--
 }
 
-// drop takes the team at position i off the active list.
-func (q *classQueue) drop(i int) {
+// deactivate removes the team at index i from the active list.
+func (q *classQueue) deactivate(i int) {
 	last := len(q.active) - 1
 	q.active[i] = q.active[last]
 	q.active = q.active[:last]
--- a/sched/reserve.go
+++ b/sched/reserve.go
@@ -7,55 +7,55 @@
 	"time"
 )
 
-// rate follows how often something happens: an average that forgets half of
-// what it knew every half life.
-type rate struct {
+// decayingRate is an exponentially decaying average of the number of events per second, with
+// the half-life rateHalfLife.
+type decayingRate struct {
 	perSecond float64
-	last      time.Duration
-	begun     bool
+	updatedAt time.Duration
+	started   bool
 }
 
-const halfLife = 5 * time.Second
+const rateHalfLife = 5 * time.Second
 
-func (r *rate) add(n float64, now time.Duration) {
+func (r *decayingRate) add(n float64, now time.Duration) {
 	r.decay(now)
-	r.perSecond += n * math.Ln2 / halfLife.Seconds()
+	r.perSecond += n * math.Ln2 / rateHalfLife.Seconds()
 }
 
-func (r *rate) decay(now time.Duration) {
-	if r.begun && now > r.last {
-		r.perSecond *= math.Exp2(-float64(now-r.last) / float64(halfLife))
+func (r *decayingRate) decay(now time.Duration) {
+	if r.started && now > r.updatedAt {
+		r.perSecond *= math.Exp2(-float64(now-r.updatedAt) / float64(rateHalfLife))
 	}
-	if !r.begun || now > r.last {
-		r.last = now
+	if !r.started || now > r.updatedAt {
+		r.updatedAt = now
 	}
-	r.begun = true
+	r.started = true
 }
 
-func (r *rate) at(now time.Duration) float64 {
+func (r *decayingRate) at(now time.Duration) float64 {
 	r.decay(now)
 	return r.perSecond
 }
 
-// Reserve works out how much room calls need.
-type Reserve struct {
-	// Floor is the number of calls that there is always room for.
-	Floor    int64
-	arrivals rate
-	length   float64
-	unit     Vec
+// CallReserve computes how much capacity to reserve for calls.
+type CallReserve struct {
+	// Floor is the least number of concurrent calls to reserve capacity for.
+	Floor        int64
+	arrivals     decayingRate
+	meanDuration float64
+	unit         Vec
 }
 
 const (
-	lengthWeight = 0.05
-	// sigmas is how many standard deviations of the number of calls in
-	// progress are kept on top of its mean.
-	sigmas = 3
+	durationWeight = 0.05
+	// reserveStdDevs is how many standard deviations are added to the mean number of concurrent
+	// calls.
+	reserveStdDevs = 3
 )
 
-// Arrived tells of a call that came in, and reports whether the room that one
-// call needs has grown.
-func (r *Reserve) Arrived(demand Vec, now time.Duration) bool {
+// RecordArrival counts a call. It reports whether the demand of one call, which is the largest
+// seen in each dimension, has grown.
+func (r *CallReserve) RecordArrival(demand Vec, now time.Duration) bool {
 	r.arrivals.add(1, now)
 	if r.unit.Covers(&demand) {
 		return false
@@ -64,26 +64,26 @@
 	return true
 }
 
-// Finished tells of a call that was over after the given time.
-func (r *Reserve) Finished(took time.Duration) {
+// RecordDuration records how long a call took.
+func (r *CallReserve) RecordDuration(took time.Duration) {
 	s := took.Seconds()
-	if r.length == 0 {
-		r.length = s
+	if r.meanDuration == 0 {
+		r.meanDuration = s
 		return
 	}
-	r.length += lengthWeight * (s - r.length)
+	r.meanDuration += durationWeight * (s - r.meanDuration)
 }
 
-// Calls returns the number of calls at once that room is kept for, those in
-// progress included.
-func (r *Reserve) Calls(now time.Duration) int64 {
-	mean := r.arrivals.at(now) * r.length
-	n := int64(math.Ceil(mean + sigmas*math.Sqrt(mean)))
+// Target returns the number of concurrent calls to reserve capacity for, including those in
+// progress.
+func (r *CallReserve) Target(now time.Duration) int64 {
+	mean := r.arrivals.at(now) * r.meanDuration
+	n := int64(math.Ceil(mean + reserveStdDevs*math.Sqrt(mean)))
 	return max(n, r.Floor)
 }
 
-// more returns how many calls room must be kept for when busy of them are
-// running.
-func (r *Reserve) more(now time.Duration, busy int64) int64 {
-	return max(r.Calls(now)-busy, 0)
+// shortfall returns how many more calls to reserve capacity for while busy calls are in
+// progress.
+func (r *CallReserve) shortfall(now time.Duration, busy int64) int64 {
+	return max(r.Target(now)-busy, 0)
 }
--- a/sched/sched_test.go
+++ b/sched/sched_test.go
@@ -22,21 +22,22 @@
 	teamOther
 )
 
-// The two mixes. The batch of each asks for more than the cell has.
+// The workload mixes of two users, with their workers. The batch tasks of each mix ask for more
+// than the cell has.
 var (
 	comharWorker   = Vec{16000, 32 << 10, 0, 8, 64}
 	kartvelaWorker = Vec{32000, 64 << 10, 0, 8, 64}
 
-	lookup  = source{name: "shade-lookup", rate: 1200, length: 8 * time.Millisecond, deadline: 1500 * time.Millisecond, task: Task{Class: Urgent, Call: true, Rack: AnyRack, Team: teamCalls, Demand: Vec{500, 256, 0, 1, 1}}}
-	formula = source{name: "formula-match", rate: 50, length: 250 * time.Millisecond, deadline: 8 * time.Second, task: Task{Class: Standard, Call: true, Rack: AnyRack, Team: teamCalls, Demand: Vec{2000, 2048, 0, 1, 1}}}
-	recal   = source{name: "recalibration", rate: 170, length: 2 * time.Second, saturating: true, task: Task{Class: Bulk, Rack: AnyRack, Team: teamBatch, Ladder: MayThrottle | MayCheckpoint, Demand: Vec{3000, 4096, 0, 1, 1}}}
+	lookup        = source{name: "shade-lookup", rate: 1200, length: 8 * time.Millisecond, deadline: 1500 * time.Millisecond, task: Task{Class: Urgent, Call: true, Rack: AnyRack, Team: teamCalls, Demand: Vec{500, 256, 0, 1, 1}}}
+	formulaMatch  = source{name: "formula-match", rate: 50, length: 250 * time.Millisecond, deadline: 8 * time.Second, task: Task{Class: Standard, Call: true, Rack: AnyRack, Team: teamCalls, Demand: Vec{2000, 2048, 0, 1, 1}}}
+	recalibration = source{name: "recalibration", rate: 170, length: 2 * time.Second, saturating: true, task: Task{Class: Bulk, Rack: AnyRack, Team: teamBatch, Preemption: MayThrottle | MayCheckpoint, Demand: Vec{3000, 4096, 0, 1, 1}}}
 
-	address = source{name: "address-reading", rate: 160, length: 1500 * time.Millisecond, task: Task{Class: Standard, Rack: AnyRack, Team: teamBatch, Ladder: MayThrottle | MayCheckpoint, Demand: Vec{4000, 8192, 0, 1, 1}}}
-	route   = source{name: "route-plan", rate: 30, length: time.Second, deadline: 5 * time.Second, task: Task{Class: Urgent, Rack: AnyRack, Team: teamCalls, Demand: Vec{6000, 8192, 0, 1, 1}}}
-	trace   = source{name: "trace", rate: 30, length: 4 * time.Second, saturating: true, task: Task{Class: Bulk, Rack: AnyRack, Team: teamOther, Ladder: MayThrottle | MayCheckpoint | MayStop, Demand: Vec{8000, 12288, 0, 1, 1}}}
+	addressReading = source{name: "address-reading", rate: 160, length: 1500 * time.Millisecond, task: Task{Class: Standard, Rack: AnyRack, Team: teamBatch, Preemption: MayThrottle | MayCheckpoint, Demand: Vec{4000, 8192, 0, 1, 1}}}
+	routePlan      = source{name: "route-plan", rate: 30, length: time.Second, deadline: 5 * time.Second, task: Task{Class: Urgent, Rack: AnyRack, Team: teamCalls, Demand: Vec{6000, 8192, 0, 1, 1}}}
+	trace          = source{name: "trace", rate: 30, length: 4 * time.Second, saturating: true, task: Task{Class: Bulk, Rack: AnyRack, Team: teamOther, Preemption: MayThrottle | MayCheckpoint | MayStop, Demand: Vec{8000, 12288, 0, 1, 1}}}
 
-	comhar   = []source{lookup, formula, recal}
-	kartvela = []source{address, route, trace}
+	comhar   = []source{lookup, formulaMatch, recalibration}
+	kartvela = []source{addressReading, routePlan, trace}
 )
 
 func newCell(workers int, capacity Vec) *cellPolicy {
@@ -60,7 +61,7 @@
 }
 
 var _ = Describe("the cell", func() {
-	It("never gives a worker more than it has, and never loses room or work", func() {
+	It("never exceeds the capacity of a worker, and never loses capacity or tasks", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			var c Cell
 			capacity := Vec{4000, 4096, 1, 4, 8}
@@ -87,10 +88,10 @@
 				case what >= 2 || len(running) == 0:
 					task := Task{
 						Ref: i, Rack: AnyRack, Team: TeamID(rapid.IntRange(0, 2).Draw(t, "team")),
-						Class:  Class(rapid.IntRange(0, 2).Draw(t, "class")),
-						Ladder: Ladder(rapid.IntRange(0, 7).Draw(t, "ladder")),
-						Call:   rapid.Bool().Draw(t, "call"),
-						Demand: Vec{int64(rapid.IntRange(1, 4000).Draw(t, "cpu")), int64(rapid.IntRange(1, 4096).Draw(t, "mem")), 0, 1, 1},
+						Class:      Class(rapid.IntRange(0, 2).Draw(t, "class")),
+						Preemption: Ladder(rapid.IntRange(0, 7).Draw(t, "ladder")),
+						Call:       rapid.Bool().Draw(t, "call"),
+						Demand:     Vec{int64(rapid.IntRange(1, 4000).Draw(t, "cpu")), int64(rapid.IntRange(1, 4096).Draw(t, "mem")), 0, 1, 1},
 					}
 					tasks[i] = &record{h: c.Submit(task, now), waiting: true}
 				case what == 1:
@@ -102,17 +103,17 @@
 					}
 				}
 				out = c.Step(now, out[:0])
-				out = c.Resumable(now, out)
+				out = c.ResumeThrottled(now, out)
 				for _, d := range out {
 					r := tasks[d.Ref]
 					switch d.Op {
 					case OpStart:
 						if !r.waiting {
-							t.Fatal("started twice")
+							t.Fatal("task started twice")
 						}
 						r.waiting = false
 					case OpThrottle:
-						c.Throttled(d.Task)
+						c.RecordThrottled(d.Task)
 					case OpCheckpoint, OpStop:
 						c.Requeue(d.Task, now)
 						r.waiting = true
@@ -125,7 +126,7 @@
 					}
 				}
 				if waiting != c.Queued() || len(tasks)-waiting != c.Running() {
-					t.Fatalf("%d wait and %d run, the cell says %d and %d", waiting, len(tasks)-waiting, c.Queued(), c.Running())
+					t.Fatalf("want %d waiting and %d running tasks, the cell reports %d and %d", waiting, len(tasks)-waiting, c.Queued(), c.Running())
 				}
 				for w := range c.free {
 					if !c.free[w].Covers(&Vec{}) || !capacity.Covers(&c.free[w]) {
@@ -154,10 +155,10 @@
 		Expect(p99(drive(base, comhar, 30*time.Second, 1), "shade-lookup")).To(BeNumerically(">", time.Second))
 	})
 
-	It("takes a tenfold burst of lookups over full batch", func() {
+	It("absorbs a tenfold burst of lookups while batch tasks fill the cell", func() {
 		burst := lookup
 		burst.peak, burst.peakFrom, burst.peakTo = 10, 10*time.Second, 14*time.Second
-		o := drive(newCell(48, comharWorker), []source{burst, formula, recal}, 30*time.Second, 1)
+		o := drive(newCell(48, comharWorker), []source{burst, formulaMatch, recalibration}, 30*time.Second, 1)
 		Expect(o.refused["shade-lookup"]).To(BeZero())
 		Expect(time.Duration(o.waits["shade-lookup"].Max()) * time.Microsecond).To(BeNumerically("<", 1500*time.Millisecond))
 	})
@@ -174,36 +175,36 @@
 
 	It("lets no calls pile up on a slow worker, and tries it again later", func() {
 		d := newDriver(newCell(48, comharWorker), []source{lookup}, 1)
-		d.slow = map[WorkerID]float64{7: 20}
+		d.slowdown = map[WorkerID]float64{7: 20}
 		d.run(9 * time.Second)
 		Expect(d.placed[7]).To(BeNumerically("<", d.placed[8]/10))
 	})
 
-	It("does not blame workers when all are slow", func() {
+	It("does not mark workers as slow when all of them are", func() {
 		p := newCell(16, comharWorker)
 		d := newDriver(p, []source{lookup}, 1)
-		d.slow = map[WorkerID]float64{}
+		d.slowdown = map[WorkerID]float64{}
 		for w := range WorkerID(16) {
-			d.slow[w] = 5
+			d.slowdown[w] = 5
 		}
 		d.run(5 * time.Second)
 		Expect(p.cell.slowCount).To(BeNumerically("<=", 2))
 	})
 
-	It("keeps its goodput when refused callers come back at once", func() {
+	It("keeps its goodput when refused callers retry at once", func() {
 		good := func(storm bool) int {
 			l := lookup
 			l.rate = 70000
 			d := newDriver(newCell(48, comharWorker), []source{l}, 1)
-			d.storm = storm
+			d.retryAtOnce = storm
 			o := d.run(1500 * time.Millisecond)
 			return o.finished["shade-lookup"] - o.missed["shade-lookup"]
 		}
 		Expect(good(true)).To(BeNumerically(">=", good(false)*98/100))
 	})
 
-	It("holds lookups and packing through a season of half as much batch again", func() {
-		season := scaled(comhar, 1.5, comharWorker)
+	It("keeps lookup waits short and packing dense at a load of 1.5 times the capacity", func() {
+		season := scaleBatch(comhar, 1.5, comharWorker)
 		season[0].rate = 4000
 		o := drive(newCell(48, comharWorker), season, time.Minute, 1)
 		Expect(o.refused["shade-lookup"]).To(BeZero())
@@ -211,13 +212,13 @@
 		Expect(o.busy).To(BeNumerically(">", 0.9))
 	})
 
-	It("starts urgent work in time and meets its deadlines while batch fills the cell", func() {
+	It("starts urgent work in time and meets its deadlines while batch tasks fill the cell", func() {
 		o := drive(newCell(48, kartvelaWorker), kartvela, 60*time.Second, 1)
 		Expect(o.missed["route-plan"]).To(BeZero())
 		Expect(time.Duration(o.waits["route-plan"].Max()) * time.Microsecond).To(BeNumerically("<", 1500*time.Millisecond))
 	})
 
-	It("gives a team that waits its quota back", func() {
+	It("returns its quota to a waiting team when another team borrows", func() {
 		greedy, modest := trace, trace
 		greedy.name, greedy.rate, greedy.task.Team = "greedy", 120, teamBatch
 		modest.name, modest.task.Team = "modest", teamOther
@@ -226,7 +227,7 @@
 		Expect(o.started["modest"]).To(BeNumerically(">=", o.arrived["modest"]*95/100))
 	})
 
-	It("refuses early what cannot start in time, and says when to come back", func() {
+	It("refuses early what cannot start in time, and returns a retry delay", func() {
 		var c Cell
 		c.Config.QueueLimit = 8
 		w := c.Add(0, Vec{1000, 1000, 0, 1, 1})
@@ -250,7 +251,7 @@
 			c.Submit(task, now)
 		}
 		v, _ = c.Admit(&task, now)
-		Expect(v).To(Equal(Full))
+		Expect(v).To(Equal(QueueFull))
 	})
 
 	It("spreads the replicas of a service over workers", func() {
--- a/sched/step.go
+++ b/sched/step.go
@@ -8,47 +8,48 @@
 )
 
 const (
-	// backfillDepth is how many tasks of a team are tried behind one that
-	// does not fit.
+	// backfillDepth is how many tasks of a team are tried in one go, in queue order, until one
+	// fits.
 	backfillDepth = 4
-	// maxMisfits bounds the demands that a step remembers as not fitting.
-	maxMisfits = 8
+	// maxUnplaceable limits the number of demands that are remembered as not fitting while a
+	// class is stepped through.
+	maxUnplaceable = 8
 )
 
-// Step decides what to do at now and appends it to out. Starts are booked
-// before they are returned; yields are booked when the caller tells of their
-// end with Requeue.
+// Step decides what to do at the time now and appends the decisions to out. Started tasks are
+// accounted for as running at once. Preempted tasks are accounted for as waiting only when the
+// caller reports it with Requeue.
 func (c *Cell) Step(now time.Duration, out []Decision) []Decision {
-	c.wake(now)
-	c.recoverSlow(now)
+	c.queueDeferred(now)
+	c.resetSlow(now)
 	for class := int(numClasses) - 1; class >= 0; class-- {
 		out = c.stepClass(Class(class), now, out)
 	}
 	return out
 }
 
-// wake moves the tasks whose time has come to the waiting ones.
-func (c *Cell) wake(now time.Duration) {
-	for len(c.later) > 0 && c.later[0].key <= now {
-		h := c.later.pop().handle
-		if s := c.slot(h); s != nil && s.state == taskLater {
-			c.enqueue(h, s, now)
+// queueDeferred queues the deferred tasks whose NotBefore time has come.
+func (c *Cell) queueDeferred(now time.Duration) {
+	for len(c.deferred) > 0 && c.deferred[0].key <= now {
+		h := c.deferred.pop().handle
+		if r := c.record(h); r != nil && r.state == taskDeferred {
+			c.enqueue(h, r, now)
 		}
 	}
 }
 
 func (c *Cell) stepClass(class Class, now time.Duration, out []Decision) []Decision {
 	q := &c.waiting[class]
-	if q.live == 0 {
+	if q.liveCount == 0 {
 		return out
 	}
-	c.misfits = c.misfits[:0]
-	c.skipped = c.skipped[:0]
+	c.unplaceable = c.unplaceable[:0]
+	c.skippedTeams = c.skippedTeams[:0]
 	for range q.teams {
-		c.skipped = append(c.skipped, false)
+		c.skippedTeams = append(c.skippedTeams, false)
 	}
 	for {
-		i := c.next(q)
+		i := c.nextTeam(q)
 		if i < 0 {
 			return out
 		}
@@ -56,18 +57,18 @@
 	}
 }
 
-// next returns the position of the active team with the least share that was
-// not skipped in this step, or -1.
-func (c *Cell) next(q *classQueue) int {
+// nextTeam returns the index of the active team with the smallest dominant share that is not
+// skipped, or -1.
+func (c *Cell) nextTeam(q *classQueue) int {
 	best := -1
 	least := math.Inf(1)
 	for i := 0; i < len(q.active); {
 		team := q.active[i]
 		if len(q.teams[team].heap) == 0 {
-			q.drop(i)
+			q.deactivate(i)
 			continue
 		}
-		if share := c.teams[team].share; !c.skipped[team] && share < least {
+		if share := c.teams[team].share; !c.skippedTeams[team] && share < least {
 			best, least = i, share
 		}
 		i++
@@ -75,70 +76,71 @@
 	return best
 }
 
-// stepTeam starts the first task of a team that fits. When none of the first
-// few does, the team is skipped for the rest of the step.
+// stepTeam starts the first task of a team that fits. If none of the first backfillDepth tasks
+// fits, it tries to make room for the first of them, and the team is skipped for the rest of
+// the step.
 func (c *Cell) stepTeam(class Class, i int, now time.Duration, out []Decision) []Decision {
 	q := &c.waiting[class]
 	team := q.active[i]
 	heap := &q.teams[team].heap
-	c.retries = c.retries[:0]
+	c.passedOver = c.passedOver[:0]
 	started := false
-	for len(*heap) > 0 && len(c.retries) < backfillDepth && !started {
+	for len(*heap) > 0 && len(c.passedOver) < backfillDepth && !started {
 		e := heap.pop()
-		s := c.slot(e.handle)
-		if s == nil || s.state != taskWaiting || s.seq != e.seq {
+		r := c.record(e.handle)
+		if r == nil || r.state != taskWaiting || r.seq != e.seq {
 			continue
 		}
-		if s.StartBy > 0 && now > s.StartBy {
-			q.gone(team)
-			out = append(out, Decision{Op: OpExpire, Task: e.handle, Ref: s.Ref, Worker: NoWorker})
-			c.unhold(s)
-			c.release(e.handle)
+		if r.StartBy > 0 && now > r.StartBy {
+			q.removeLive(team)
+			out = append(out, Decision{Op: OpExpire, Task: e.handle, Ref: r.Ref, Worker: NoWorker})
+			c.releaseHold(r)
+			c.freeRecord(e.handle)
 			continue
 		}
-		w := c.place(e.handle, s, now)
+		w := c.findWorker(e.handle, r, now)
 		if w == NoWorker {
-			c.retries = append(c.retries, e)
+			c.passedOver = append(c.passedOver, e)
 			continue
 		}
-		q.gone(team)
-		c.run(e.handle, w, now)
-		out = append(out, Decision{Op: OpStart, Task: e.handle, Ref: s.Ref, Worker: w})
+		q.removeLive(team)
+		c.beginRun(e.handle, w, now)
+		out = append(out, Decision{Op: OpStart, Task: e.handle, Ref: r.Ref, Worker: w})
 		started = true
 	}
-	if !started && len(c.retries) > 0 {
-		out = c.makeRoom(c.retries[0].handle, now, out)
+	if !started && len(c.passedOver) > 0 {
+		out = c.makeRoom(c.passedOver[0].handle, now, out)
 	}
-	for _, e := range c.retries {
+	for _, e := range c.passedOver {
 		heap.push(e)
 	}
 	if !started {
-		c.skipped[team] = true
+		c.skippedTeams[team] = true
 	}
 	return out
 }
 
-// place returns the worker for a waiting task, or NoWorker.
-func (c *Cell) place(h Handle, s *slot, now time.Duration) WorkerID {
-	if c.overLimit(&s.Task) {
+// findWorker returns a worker for a waiting task, or NoWorker.
+func (c *Cell) findWorker(h Handle, r *taskRecord, now time.Duration) WorkerID {
+	if c.exceedsQuota(&r.Task) {
 		return NoWorker
 	}
-	if s.Rack == AnyRack && c.misfit(&s.Demand) {
+	if r.Rack == AnyRack && c.knownUnplaceable(&r.Demand) {
 		return NoWorker
 	}
-	q := c.query(&s.Task, h, now)
+	q := c.newQuery(&r.Task, h, now)
 	w := c.find(&q)
-	if w == NoWorker && s.Rack == AnyRack && len(c.misfits) < maxMisfits {
-		c.misfits = append(c.misfits, s.Demand)
+	if w == NoWorker && r.Rack == AnyRack && len(c.unplaceable) < maxUnplaceable {
+		c.unplaceable = append(c.unplaceable, r.Demand)
 	}
 	return w
 }
 
-// misfit reports whether a demand that is no larger already did not fit in
-// this step.
-func (c *Cell) misfit(d *Vec) bool {
-	for i := range c.misfits {
-		if d.Covers(&c.misfits[i]) {
+// knownUnplaceable reports whether a demand that is no larger than d already failed to fit
+// while this class was stepped through.
+func (c *Cell) knownUnplaceable(d *Vec) bool {
+	for i := range c.unplaceable {
+		if d.Covers(&c.unplaceable[i]) {
 			return true
 		}
 	}
--- a/sched/task.go
+++ b/sched/task.go
@@ -4,10 +4,11 @@
 
 import "time"
 
-// Class orders tasks before anything else does. A higher class goes first.
+// Class is the priority class of a task. It takes precedence over every other criterion: tasks
+// of a higher class go first.
 type Class uint8
 
-// The classes.
+// The classes, lowest first.
 const (
 	Bulk Class = iota
 	Standard
@@ -15,7 +16,7 @@
 	numClasses
 )
 
-// String returns the name of c as settings carry it.
+// String returns the name of c as used in settings.
 func (c Class) String() string {
 	switch c {
 	case Bulk:
@@ -37,51 +38,52 @@
 	return Bulk, false
 }
 
-// Ladder says by which steps a task may be made to yield.
+// PreemptionModes is the set of ways in which a task may be preempted.
 type Ladder uint8
 
-// The steps of the ladder, to be combined.
+// The ways to preempt a task, as bits of a set.
 const (
 	MayThrottle Ladder = 1 << iota
 	MayCheckpoint
 	MayStop
 )
 
-// TeamID names a team within one Cell; the caller hands out the numbers.
+// TeamID identifies a team within one Cell. The caller assigns the IDs.
 type TeamID int32
 
-// Handle names a task within one Cell. The zero Handle names none.
+// Handle identifies a task within one Cell. The zero Handle identifies none.
 type Handle struct {
 	index int32
 	gen   uint32
 }
 
-// Task is what the cell needs to know of a task.
+// Task describes a task to the scheduler.
 type Task struct {
 	// Ref is the caller's own number for the task; decisions carry it back.
 	Ref    uint64
 	Team   TeamID
 	Class  Class
 	Demand Vec
-	// Rack limits the task to one rack, or is AnyRack.
+	// Rack restricts the task to one rack, or is AnyRack.
 	Rack RackID
-	// Call marks work that somebody waits for on a connection.
+	// Call marks a task whose caller waits for the answer on a connection.
 	Call bool
-	// Group spreads the tasks with the same number over workers; 0 is none.
+	// Group is the number of a spread group, whose tasks are placed on different workers if
+	// possible; 0 means no group.
 	Group int32
-	// NotBefore is the time before which the task must not start.
+	// NotBefore is the earliest time at which the task may start.
 	NotBefore time.Duration
-	// Deadline is the time by which the task should be over; 0 is none.
+	// Deadline is the time by which the task should have finished; 0 means none.
 	Deadline time.Duration
-	// StartBy is the time after which starting is pointless; 0 is none.
+	// StartBy is the time after which the task need not be started any more; 0 means none.
 	StartBy time.Duration
-	// Estimate is how long the task is expected to run; 0 is not known.
-	Estimate time.Duration
-	Ladder   Ladder
+	// Estimate is how long the task is expected to run; 0 if unknown.
+	Estimate   time.Duration
+	Preemption Ladder
 }
 
-// slack is the latest time at which t may start and still make its deadline.
-func (t *Task) slack() time.Duration {
+// latestStart returns the latest time at which t may start and still meet its deadline.
+func (t *Task) latestStart() time.Duration {
 	if t.Deadline == 0 {
 		return noDeadline
 	}
@@ -93,30 +95,30 @@
 type taskState uint8
 
 const (
-	taskFree taskState = iota
-	taskLater
+	taskUnused taskState = iota
+	taskDeferred
 	taskWaiting
 	taskRunning
 )
 
-// slot is the cell's record of one task.
-type slot struct {
+// taskRecord is the scheduler's record of one task.
+type taskRecord struct {
 	Task
-	gen       uint32
-	state     taskState
-	yielding  bool
-	throttled bool
-	yields    uint8
-	worker    WorkerID
-	// hold is the worker that is held for the task while it waits, since
-	// holdSince.
-	hold      WorkerID
-	holdSince time.Duration
-	// place is the position of the task in the list of its worker.
-	place   int32
-	seq     uint64
-	since   time.Duration
-	started time.Duration
-	saved   time.Duration
-	given   Vec
+	gen         uint32
+	state       taskState
+	preempting  bool
+	throttled   bool
+	preemptions uint8
+	worker      WorkerID
+	// heldWorker is the worker that is held for the task while it waits, since heldSince. No
+	// other task is placed there.
+	heldWorker WorkerID
+	heldSince  time.Duration
+	// runningIndex is the index of the task in the running list of its worker.
+	runningIndex   int32
+	seq            uint64
+	queuedAt       time.Duration
+	startedAt      time.Duration
+	checkpointedAt time.Duration
+	allocated      Vec
 }
--- a/sched/vec.go
+++ b/sched/vec.go
@@ -2,31 +2,31 @@
 
 package sched
 
-// Dim is one dimension of a Vec.
+// Dim is a dimension of a Vec: a kind of resource.
 type Dim int
 
 // The dimensions of a Vec.
 const (
-	// Milli is thousandths of a processor.
+	// Milli is processor time in thousandths of a processor.
 	Milli Dim = iota
-	// MiB is memory.
+	// MiB is memory in MiB.
 	MiB
-	// Accel is whole accelerators.
+	// Accel is a number of whole accelerators.
 	Accel
-	// Slots is places for a task.
+	// Slots is the number of tasks at a time.
 	Slots
-	// Conns is connections to the worker.
+	// Conns is the number of connections to the worker.
 	Conns
 	// NumDims is the number of dimensions.
 	NumDims
 )
 
-// String returns the name of d as settings carry it.
+// String returns the name of d as used in settings.
 func (d Dim) String() string {
 	return [...]string{"cpu", "memory", "accelerators", "slots", "connections"}[d]
 }
 
-// Vec is an amount in every dimension: a capacity, a demand, or what is free.
+// Vec is an amount of every resource: a capacity, a demand, or what is free.
 type Vec [NumDims]int64
 
 // Add returns v + o.
@@ -81,8 +81,8 @@
 // IsZero reports whether v is zero in every dimension.
 func (v Vec) IsZero() bool { return v == Vec{} }
 
-// Share returns the dominant share of v in whole: the largest quotient over
-// the dimensions that whole has any of.
+// Share returns the dominant share of v in whole: the largest quotient over the dimensions in
+// which whole is positive.
 func (v Vec) Share(whole Vec) float64 {
 	var share float64
 	for d := range v {
@@ -93,9 +93,9 @@
 	return share
 }
 
-// holds returns how often unit fits into v; at most maxHolds times.
-func (v Vec) holds(unit Vec) int64 {
-	n := int64(maxHolds)
+// fits returns how many times unit fits into v, at most maxFits.
+func (v Vec) fits(unit Vec) int64 {
+	n := int64(maxFits)
 	for d := range v {
 		if unit[d] > 0 {
 			n = min(n, v[d]/unit[d])
@@ -104,5 +104,5 @@
 	return max(n, 0)
 }
 
-// maxHolds bounds what holds returns, for a unit of nothing.
-const maxHolds = 1 << 20
+// maxFits limits the result of fits, which would be unbounded for a zero unit.
+const maxFits = 1 << 20
--- a/sched/yield.go
+++ b/sched/yield.go
@@ -7,51 +7,49 @@
 	"time"
 )
 
-// throttledShare is the part of its processors that a throttled task keeps,
-// as one in this many.
-const throttledShare = 4
+// throttleDivisor sets what a throttled task keeps of its processor time: 1/throttleDivisor.
+const throttleDivisor = 4
 
-// holdTime is how long a worker is held for a task before another one is tried.
-const holdTime = time.Second
+// holdDuration is how long a worker is held for a task before another worker is tried.
+const holdDuration = time.Second
 
-// makeRoom chooses the worker where the least work is lost by letting h in,
-// holds it for h, and asks the tasks there to yield.
+// makeRoom chooses the worker on which making room for h loses the least work, holds it for h,
+// and asks tasks there to yield.
 func (c *Cell) makeRoom(h Handle, now time.Duration, out []Decision) []Decision {
-	s := c.slot(h)
-	if s == nil || c.overLimit(&s.Task) || now-s.since < s.patience(now) {
+	r := c.record(h)
+	if r == nil || c.exceedsQuota(&r.Task) || now-r.queuedAt < r.preemptionDelay(now) {
 		return out
 	}
-	if s.hold != NoWorker && now-s.holdSince < holdTime {
+	if r.heldWorker != NoWorker && now-r.heldSince < holdDuration {
 		return out
 	}
-	c.unhold(s)
-	if s.Class == Bulk && !c.underQuota(s.Team) {
+	c.releaseHold(r)
+	if r.Class == Bulk && !c.underQuota(r.Team) {
 		return out
 	}
-	w := c.cheapest(s, now)
+	w := c.cheapestWorker(r, now)
 	if w == NoWorker {
 		return out
 	}
-	c.held[w] = h
-	s.hold, s.holdSince = w, now
-	return c.yield(w, s, now, out)
+	c.heldFor[w] = h
+	r.heldWorker, r.heldSince = w, now
+	return c.preempt(w, r, now, out)
 }
 
-// patience is how long s waits for room that comes free by itself before
-// others have to yield for it. Urgent work, calls, and work whose deadline is
-// near do not wait.
-func (s *slot) patience(now time.Duration) time.Duration {
-	if s.Class == Urgent || s.Call || s.slack() < now+nearDeadline {
+// preemptionDelay returns how long r waits for resources to become free before other tasks are
+// preempted for it. Urgent tasks, calls and tasks whose deadline is near do not wait.
+func (r *taskRecord) preemptionDelay(now time.Duration) time.Duration {
+	if r.Class == Urgent || r.Call || r.latestStart() < now+nearDeadlineWindow {
 		return 0
 	}
-	return batchPatience
+	return batchPreemptionDelay
 }
 
 const (
-	// batchPatience trades a short wait of batch for tasks that are not
+	// batchPreemptionDelay makes batch tasks wait a little longer, so that fewer tasks are
 	// interrupted; see docs/MEASUREMENTS.md.
-	batchPatience = 250 * time.Millisecond
-	nearDeadline  = 5 * time.Second
+	batchPreemptionDelay = 250 * time.Millisecond
+	nearDeadlineWindow   = 5 * time.Second
 )
 
 func (c *Cell) underQuota(id TeamID) bool {
@@ -59,81 +57,81 @@
 	return t.set && t.share < 1
 }
 
-// unhold gives up the worker that is held for s.
-func (c *Cell) unhold(s *slot) {
-	if s.hold != NoWorker {
-		c.held[s.hold] = Handle{}
-		s.hold = NoWorker
+// releaseHold ends the hold on a worker for r.
+func (c *Cell) releaseHold(r *taskRecord) {
+	if r.heldWorker != NoWorker {
+		c.heldFor[r.heldWorker] = Handle{}
+		r.heldWorker = NoWorker
 	}
 }
 
-// cheapest returns the open worker on which room for s costs the least work.
-func (c *Cell) cheapest(s *slot, now time.Duration) WorkerID {
+// cheapestWorker returns the open worker on which making room for r loses the least work.
+func (c *Cell) cheapestWorker(r *taskRecord, now time.Duration) WorkerID {
 	best := NoWorker
 	least := time.Duration(math.MaxInt64)
 	for w := range c.running {
-		if c.closed[w] || c.held[w] != (Handle{}) {
+		if c.closed[w] || c.heldFor[w] != (Handle{}) {
 			continue
 		}
-		if s.Rack != AnyRack && c.rack[w] != s.Rack {
+		if r.Rack != AnyRack && c.rack[w] != r.Rack {
 			continue
 		}
-		if cost, ok := c.cost(WorkerID(w), s, now); ok && cost < least {
+		if cost, ok := c.preemptionCost(WorkerID(w), r, now); ok && cost < least {
 			best, least = WorkerID(w), cost
 		}
 	}
 	return best
 }
 
-// cost returns the work lost by making room for s on w, and whether it can be
-// made at all.
-func (c *Cell) cost(w WorkerID, s *slot, now time.Duration) (time.Duration, bool) {
+// preemptionCost returns the work that is lost by making room for r on w, and whether that is
+// possible at all.
+func (c *Cell) preemptionCost(w WorkerID, r *taskRecord, now time.Duration) (time.Duration, bool) {
 	free := c.free[w]
 	var lost time.Duration
 	for _, i := range c.running[w] {
-		if free.Covers(&s.Demand) {
+		if free.Covers(&r.Demand) {
 			return lost, true
 		}
-		v := &c.slots[i]
-		if !c.yields(v, s, now) {
+		v := &c.records[i]
+		if !c.mayPreempt(v, r, now) {
 			continue
 		}
-		free = free.Add(v.given)
-		lost += v.loss(now)
+		free = free.Add(v.allocated)
+		lost += v.lostWork(now)
 	}
-	return lost, free.Covers(&s.Demand)
+	return lost, free.Covers(&r.Demand)
 }
 
-// loss is the work that is lost when s yields now.
-func (s *slot) loss(now time.Duration) time.Duration {
-	if s.Ladder&MayCheckpoint != 0 {
+// lostWork returns the work that is lost if r is preempted now.
+func (r *taskRecord) lostWork(now time.Duration) time.Duration {
+	if r.Preemption&MayCheckpoint != 0 {
 		return checkpointCost
 	}
-	return now - s.saved
+	return now - r.checkpointedAt
 }
 
-// checkpointCost stands for the time that saving and loading a task takes.
+// checkpointCost is the assumed cost of saving and loading a task.
 const checkpointCost = 500 * time.Millisecond
 
-// yields reports whether v may be asked to yield to s.
-func (c *Cell) yields(v, s *slot, now time.Duration) bool {
-	if v.Ladder&(MayCheckpoint|MayStop) == 0 || v.yielding {
+// mayPreempt reports whether v may be preempted for r.
+func (c *Cell) mayPreempt(v, r *taskRecord, now time.Duration) bool {
+	if v.Preemption&(MayCheckpoint|MayStop) == 0 || v.preempting {
 		return false
 	}
-	if v.yields >= c.maxYields() || now-v.started < c.minRun() {
+	if v.preemptions >= c.maxPreemptions() || now-v.startedAt < c.minRun() {
 		return false
 	}
-	if v.Class < s.Class {
+	if v.Class < r.Class {
 		return true
 	}
-	return v.Class == s.Class && c.underQuota(s.Team) && c.teams[v.Team].share > 1
+	return v.Class == r.Class && c.underQuota(r.Team) && c.teams[v.Team].share > 1
 }
 
-func (c *Cell) maxYields() uint8 {
-	if c.Config.MaxYields == 0 {
-		return DefaultMaxYields
+func (c *Cell) maxPreemptions() uint8 {
+	if c.Config.MaxPreemptions == 0 {
+		return DefaultMaxPreemptions
 	}
-	return c.Config.MaxYields
+	return c.Config.MaxPreemptions
 }
 
 func (c *Cell) minRun() time.Duration {
@@ -143,26 +141,26 @@
 	return c.Config.MinRun
 }
 
-// yield asks tasks on w to yield until s fits. When processors alone are
-// short, throttling is tried first.
-func (c *Cell) yield(w WorkerID, s *slot, now time.Duration, out []Decision) []Decision {
-	if throttled, ok := c.throttle(w, s, now, out); ok {
+// preempt asks tasks on w to yield until r fits. If only processor time is short, throttling is
+// tried first.
+func (c *Cell) preempt(w WorkerID, r *taskRecord, now time.Duration, out []Decision) []Decision {
+	if throttled, ok := c.throttleOnly(w, r, now, out); ok {
 		return throttled
 	}
 	free := c.free[w]
 	for _, i := range c.running[w] {
-		if free.Covers(&s.Demand) {
+		if free.Covers(&r.Demand) {
 			break
 		}
-		v := &c.slots[i]
-		if !c.yields(v, s, now) {
+		v := &c.records[i]
+		if !c.mayPreempt(v, r, now) {
 			continue
 		}
-		free = free.Add(v.given)
-		v.yielding = true
-		v.yields++
+		free = free.Add(v.allocated)
+		v.preempting = true
+		v.preemptions++
 		op := OpStop
-		if v.Ladder&MayCheckpoint != 0 {
+		if v.Preemption&MayCheckpoint != 0 {
 			op = OpCheckpoint
 		}
 		out = append(out, Decision{Op: op, Task: Handle{index: i, gen: v.gen}, Ref: v.Ref, Worker: w})
@@ -170,88 +168,91 @@
 	return out
 }
 
-// throttle makes room by throttling alone, or changes nothing.
-func (c *Cell) throttle(w WorkerID, s *slot, now time.Duration, out []Decision) ([]Decision, bool) {
+// throttleOnly makes room for r on w by throttling alone. If that is not enough, it changes
+// nothing and returns false.
+func (c *Cell) throttleOnly(w WorkerID, r *taskRecord, now time.Duration, out []Decision) ([]Decision, bool) {
 	free := c.free[w]
-	need := s.Demand
+	need := r.Demand
 	need[Milli] = 0
 	if !free.Covers(&need) {
 		return out, false
 	}
 	first := len(out)
 	for _, i := range c.running[w] {
-		if free[Milli] >= s.Demand[Milli] {
+		if free[Milli] >= r.Demand[Milli] {
 			break
 		}
-		v := &c.slots[i]
-		if v.Ladder&MayThrottle == 0 || v.throttled || v.yielding || v.Class >= s.Class {
+		v := &c.records[i]
+		if v.Preemption&MayThrottle == 0 || v.throttled || v.preempting || v.Class >= r.Class {
 			continue
 		}
-		free[Milli] += v.given[Milli] - v.given[Milli]/throttledShare
+		free[Milli] += v.allocated[Milli] - v.allocated[Milli]/throttleDivisor
 		out = append(out, Decision{Op: OpThrottle, Task: Handle{index: i, gen: v.gen}, Ref: v.Ref, Worker: w})
 	}
-	if free[Milli] < s.Demand[Milli] {
+	if free[Milli] < r.Demand[Milli] {
 		return out[:first], false
 	}
 	for _, d := range out[first:] {
-		c.slots[d.Task.index].yielding = true
+		c.records[d.Task.index].preempting = true
 	}
 	return out, true
 }
 
-// Throttled tells that a task now runs with the processors of a throttled one.
-func (c *Cell) Throttled(h Handle) {
-	s := c.slot(h)
-	if s == nil || s.state != taskRunning || s.throttled {
+// RecordThrottled notes that a running task has been throttled, and releases the processor time
+// that it gave up.
+func (c *Cell) RecordThrottled(h Handle) {
+	r := c.record(h)
+	if r == nil || r.state != taskRunning || r.throttled {
 		return
 	}
-	s.throttled = true
-	s.yielding = false
+	r.throttled = true
+	r.preempting = false
 	less := Vec{}
-	less[Milli] = s.given[Milli] - s.given[Milli]/throttledShare
-	s.given = s.given.Sub(less)
-	c.Give(s.worker, less)
-	c.charge(s.Team, Vec{}.Sub(less))
+	less[Milli] = r.allocated[Milli] - r.allocated[Milli]/throttleDivisor
+	r.allocated = r.allocated.Sub(less)
+	c.Release(r.worker, less)
+	c.chargeTeam(r.Team, Vec{}.Sub(less))
 }
 
-// Refused tells that a task could not be made to yield and goes on.
-func (c *Cell) Refused(h Handle) {
-	if s := c.slot(h); s != nil {
-		s.yielding = false
+// RecordPreemptionFailed notes that a task could not be preempted and keeps running.
+func (c *Cell) RecordPreemptionFailed(h Handle) {
+	if r := c.record(h); r != nil {
+		r.preempting = false
 	}
 }
 
-// Resumable appends a resume for every throttled task whose processors are
-// free again and for which no higher class waits. They are booked at once.
-func (c *Cell) Resumable(now time.Duration, out []Decision) []Decision {
+// ResumeThrottled appends an OpResume for every throttled task whose full processor time is
+// free again and for which no task of a higher class waits. The processor time is allocated at
+// once.
+func (c *Cell) ResumeThrottled(now time.Duration, out []Decision) []Decision {
 	for w := range c.running {
 		for _, i := range c.running[w] {
-			s := &c.slots[i]
-			if !s.throttled || s.yielding || c.higherWaits(s.Class) {
+			r := &c.records[i]
+			if !r.throttled || r.preempting || c.higherClassWaits(r.Class) {
 				continue
 			}
-			more := s.Demand.Sub(s.given)
-			if c.held[w] != (Handle{}) || !c.free[w].Covers(&more) || !c.spares(w, &more, now) {
+			more := r.Demand.Sub(r.allocated)
+			if c.heldFor[w] != (Handle{}) || !c.free[w].Covers(&more) || !c.leavesReserve(w, &more, now) {
 				continue
 			}
-			s.throttled = false
-			s.given = s.Demand
-			c.Take(WorkerID(w), more)
-			c.charge(s.Team, more)
-			out = append(out, Decision{Op: OpResume, Task: Handle{index: i, gen: s.gen}, Ref: s.Ref, Worker: WorkerID(w)})
+			r.throttled = false
+			r.allocated = r.Demand
+			c.Allocate(WorkerID(w), more)
+			c.chargeTeam(r.Team, more)
+			out = append(out, Decision{Op: OpResume, Task: Handle{index: i, gen: r.gen}, Ref: r.Ref, Worker: WorkerID(w)})
 		}
 	}
 	return out
 }
 
-// spares reports whether w can give more away and leave the reserve.
-func (c *Cell) spares(w int, more *Vec, now time.Duration) bool {
-	return c.unit.IsZero() || c.totalUnits-c.loss(w, more) >= c.reserve.more(now, c.calls)
+// leavesReserve reports whether w can allocate more without using capacity reserved for calls.
+func (c *Cell) leavesReserve(w int, more *Vec, now time.Duration) bool {
+	return c.callUnit.IsZero() || c.totalFreeUnits-c.unitsLost(w, more) >= c.callReserve.shortfall(now, c.runningCalls)
 }
 
-func (c *Cell) higherWaits(class Class) bool {
+func (c *Cell) higherClassWaits(class Class) bool {
 	for k := class + 1; k < numClasses; k++ {
-		if c.waiting[k].live > 0 {
+		if c.waiting[k].liveCount > 0 {
 			return true
 		}
 	}
