--- a/sched/cell.go
+++ b/sched/cell.go
@@ -322,10 +322,10 @@
 
 // newQuery returns the query that finds a worker for t. Work other than calls must leave the
 // capacity reserved for calls free.
-func (c *Cell) newQuery(t *Task, asker Handle, now time.Duration) query {
+func (c *Cell) newQuery(t *Task, requester Handle, now time.Duration) query {
 	q := query{
 		demand: t.Demand, rack: t.Rack, strategy: strategyOf(t),
-		group: t.Group, requester: asker, call: t.Call,
+		group: t.Group, requester: requester, call: t.Call,
 	}
 	if !t.Call && !c.callUnit.IsZero() {
 		q.keepReserve = true
--- a/sched/health.go
+++ b/sched/health.go
@@ -39,16 +39,16 @@
 		c.latency = append(c.latency, latencyStats{})
 	}
 	ratio := (now - r.startedAt).Seconds() / r.Estimate.Seconds()
-	h := &c.latency[w]
-	h.samples++
-	h.ratio += sampleWeight(h.samples) * (ratio - h.ratio)
+	stats := &c.latency[w]
+	stats.samples++
+	stats.ratio += sampleWeight(stats.samples) * (ratio - stats.ratio)
 	c.overallLatency.samples++
 	c.overallLatency.ratio += sampleWeight(c.overallLatency.samples) / slowWorkerDivisor * (min(ratio, slowFactor*c.overallRatio()) - c.overallLatency.ratio)
-	if h.samples < minLatencySamples || h.ratio < slowFactor*c.overallRatio() {
+	if stats.samples < minLatencySamples || stats.ratio < slowFactor*c.overallRatio() {
 		return
 	}
 	if !c.slow[w] && (c.slowCount+1)*slowWorkerDivisor <= c.openCount {
-		h.slowUntil = now + slowDuration
+		stats.slowUntil = now + slowDuration
 		c.slow[w] = true
 		c.slowCount++
 	}
--- a/sched/pool.go
+++ b/sched/pool.go
@@ -233,9 +233,9 @@
 func (p *Pool) find(q *query) WorkerID {
 	best := NoWorker
 	bestScore := float32(math.MaxFloat32)
-	seen := 0
+	candidates := 0
 	n := len(p.blockMax)
-	for i := 0; i < n && seen < maxCandidates; i++ {
+	for i := 0; i < n && candidates < maxCandidates; i++ {
 		b := p.searchStart + i
 		if b >= n {
 			b -= n
@@ -249,7 +249,7 @@
 			if !p.eligible(w, q) {
 				continue
 			}
-			seen++
+			candidates++
 			if s := p.score(w, q); s < bestScore {
 				best, bestScore = WorkerID(w), s
 			}
