--- a/owner/away.go
+++ b/owner/away.go
@@ -16,89 +16,88 @@
 )
 
 const (
-	// awayAfter is how long an instance may not have shown itself in the table
-	// before it counts as away. It is shorter than any time to move.
-	awayAfter = 4 * time.Second
-	// moveLead is how long before others may start a task its owner begins to
-	// stop it.
-	moveLead = 3 * time.Second
+	// cutOffAfter is the age of the instance's last heartbeat in the table at which the
+	// instance counts as cut off. It is shorter than any MoveAfter.
+	cutOffAfter = 4 * time.Second
+	// stopLead is how long before others may start a task its owner begins to stop it.
+	stopLead = 3 * time.Second
 )
 
-// moveOn follows how long the table has not been reached. Work that others may
-// start elsewhere by now is stopped. Once the table is back, every row is read
-// again before anything is started: jobs may have been moved. The lock is held.
-func (o *Owner) moveOn() {
-	gone := clock.Since(o.Shown())
-	if gone < awayAfter {
-		if o.away {
-			o.away = false
-			o.back()
+// checkCutOff checks how long the instance has not reached the table. It stops work that others
+// may start elsewhere from now on. Once the table is back, every row is read again before
+// anything is started, because jobs may have been moved. The lock is held.
+func (o *Owner) checkCutOff() {
+	sinceHeartbeat := clock.Since(o.Shown())
+	if sinceHeartbeat < cutOffAfter {
+		if o.cutOff {
+			o.cutOff = false
+			o.rereadAll()
 		}
 		return
 	}
-	o.away = true
+	o.cutOff = true
 	for _, js := range o.jobs {
 		w := o.Tree.Now().Workloads[js.row.Workload]
 		if w == nil || w.CutOff != tree.Move || js.row.Call {
 			continue
 		}
-		if gone > w.MoveAfter-lease.Margin(w.MoveAfter)-moveLead {
-			o.standDown(js)
+		if sinceHeartbeat > w.MoveAfter-lease.Margin(w.MoveAfter)-stopLead {
+			o.stopUntilReread(js)
 		}
 	}
 }
 
-// standDown stops a job, or takes it out of the queue, until its row is read
-// again.
-func (o *Owner) standDown(js *jobState) {
+// stopUntilReread stops a job, or takes it out of the queue, until its row has been read again.
+func (o *Owner) stopUntilReread(js *jobState) {
 	t := js.task
 	switch {
 	case t == nil:
-		js.unread = true
+		js.mustReread = true
 	case t.worker == nil:
-		js.unread = true
-		o.drop(t)
+		js.mustReread = true
+		o.removeJobTask(t)
 	case !t.stopped && t.spec.Repeat != ports.RepeatNever:
 		t.stopped = true
-		go o.act(t, t.worker, o.exitAction(t))
+		go o.sendAction(t, t.worker, o.stopAction(t))
 	}
 }
 
-// back takes every waiting job out of the queue and has its row read.
-func (o *Owner) back() {
+// rereadAll takes every waiting job out of the queue and starts to read all rows again.
+func (o *Owner) rereadAll() {
 	for _, js := range o.jobs {
 		if js.task != nil && js.task.worker == nil {
-			o.drop(js.task)
+			o.removeJobTask(js.task)
 		}
 		if js.task == nil && !js.row.State.Over() {
-			js.unread = true
+			js.mustReread = true
 		}
 	}
 	for _, r := range o.racks {
-		if r.row != 0 {
-			go o.recheck(r)
+		if r.rowVersion != 0 {
+			go o.rereadRack(r)
 		}
 	}
 }
 
-// recheck reads the rows of a rack's jobs and drops those that were moved.
-func (o *Owner) recheck(r *rack) {
-	for id := range o.idsOf(r) {
+// rereadRack reads the rows of a rack's jobs again, drops jobs that were moved and queues the
+// others.
+func (o *Owner) rereadRack(r *rack) {
+	for id := range o.jobIDs(r) {
 		row, err := o.readRow(r.ctx, job.RowKey(id))
 		if err != nil {
 			return
 		}
 		o.mu.Lock()
-		o.reread(r, id, row)
+		o.applyRow(r, id, row)
 		o.mu.Unlock()
 	}
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.releaseAll(r)
-	o.step()
+	o.resolveDoubts(r)
+	o.schedule()
 }
 
-func (o *Owner) idsOf(r *rack) map[string]bool {
+func (o *Owner) jobIDs(r *rack) map[string]bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	out := make(map[string]bool)
@@ -110,8 +109,8 @@
 	return out
 }
 
-// reread takes in the row of a job as it stands. The lock is held.
-func (o *Owner) reread(r *rack, id string, row ports.Row) {
+// applyRow applies the current row of a job. The lock is held.
+func (o *Owner) applyRow(r *rack, id string, row ports.Row) {
 	js := o.jobs[id]
 	if js == nil || js.rack != r {
 		return
@@ -121,15 +120,15 @@
 		return
 	}
 	if j.Rack != r.name {
-		o.moved(js)
+		o.dropMovedJob(js)
 		return
 	}
-	js.unread = false
+	js.mustReread = false
 }
 
-// moved drops a job that now belongs to another rack.
-func (o *Owner) moved(js *jobState) {
-	level.Info(o.Log).Log("msg", "job was moved", "job", js.row.ID)
+// dropMovedJob drops a job that now belongs to another rack.
+func (o *Owner) dropMovedJob(js *jobState) {
+	level.Info(o.Log).Log("msg", "job was moved to another rack", "job", js.row.ID)
 	delete(o.jobs, js.row.ID)
 	js.dirty = false
 	t := js.task
@@ -138,14 +137,14 @@
 	}
 	t.job, js.task = nil, nil
 	if t.worker == nil {
-		o.forget(t)
+		o.removeTask(t)
 		return
 	}
 	t.stopped = true
-	go o.act(t, t.worker, ports.ActStop)
+	go o.sendAction(t, t.worker, ports.ActStop)
 }
 
-// Moved takes in a job whose row was just moved to a rack of this owner.
+// Moved adds a job whose row was just moved to a rack of this owner.
 func (o *Owner) Moved(ctx context.Context, row job.Job, version uint64) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -156,5 +155,5 @@
 	js := newJobState(row, version, r)
 	o.jobs[row.ID] = js
 	o.enqueue(js)
-	o.step()
+	o.schedule()
 }
--- a/owner/call.go
+++ b/owner/call.go
@@ -20,34 +20,33 @@
 )
 
 const (
-	// maxPlaces bounds the workers that one call is sent to, one after another
-	// refused it for certain.
-	maxPlaces = 3
-	// intentTime bounds the write of the row of a call that must not be
-	// repeated.
-	intentTime = 1500 * time.Millisecond
+	// maxPlacements is the number of workers that a call is sent to in turn, each after a
+	// definite refusal by the one before.
+	maxPlacements = 3
+	// intentTimeout is the timeout for writing the row of a call that must not be repeated.
+	intentTimeout = 1500 * time.Millisecond
 )
 
-// pendingCall is a call whose caller waits for a place.
+// pendingCall is a call whose caller waits for a placement.
 type pendingCall struct {
-	placed chan error
+	result chan error
 }
 
-func newPendingCall() *pendingCall { return &pendingCall{placed: make(chan error, 1)} }
+func newPendingCall() *pendingCall { return &pendingCall{result: make(chan error, 1)} }
 
-// fail ends the wait without a place.
-func (p *pendingCall) fail(err error) { p.settle(err) }
+// fail ends the wait with an error.
+func (p *pendingCall) fail(err error) { p.complete(err) }
 
-func (p *pendingCall) settle(err error) {
+func (p *pendingCall) complete(err error) {
 	select {
-	case p.placed <- err:
+	case p.result <- err:
 	default:
 	}
 }
 
-// Call runs a call on one of the owned workers and returns its whole answer.
-// An error with outcome NotRun means that it was sent nowhere, or was refused
-// for certain wherever it was sent.
+// Call runs a call on one of the owned workers and returns the complete answer. An error with
+// the outcome NotRun means that the call was not sent, or was definitely refused wherever it
+// was sent.
 func (o *Owner) Call(ctx context.Context, req *wire.Call) (*wire.CallReply, error) {
 	ctx, span := o.Tracer.Start(ctx, "owner.call")
 	span.SetAttributes(attribute.String("dewpass.id", req.Id), attribute.String("dewpass.workload", req.Workload))
@@ -65,7 +64,7 @@
 	ctx, cancel := context.WithTimeout(ctx, left)
 	defer cancel()
 	began := clock.Now()
-	t, err := o.admit(ctx, w, req, left)
+	t, err := o.placeOrWait(ctx, w, req, left)
 	if err != nil {
 		return nil, err
 	}
@@ -84,18 +83,18 @@
 	}, nil
 }
 
-// admit places a call, or lets it wait until there is room.
-func (o *Owner) admit(ctx context.Context, w *tree.Workload, req *wire.Call, left time.Duration) (*task, error) {
+// placeOrWait places a call, or waits until there is room.
+func (o *Owner) placeOrWait(ctx context.Context, w *tree.Workload, req *wire.Call, left time.Duration) (*task, error) {
 	o.mu.Lock()
-	t, err := o.enter(w, req, left)
+	t, err := o.startOrQueue(w, req, left)
 	o.mu.Unlock()
 	if err != nil || t.worker != nil {
 		return t, err
 	}
 	select {
-	case err = <-t.call.placed:
+	case err = <-t.pending.result:
 	case <-ctx.Done():
-		err = o.withdraw(t)
+		err = o.expireCall(t)
 	}
 	if err != nil {
 		return nil, err
@@ -103,14 +102,14 @@
 	return t, nil
 }
 
-// enter books a call or queues it. The lock is held.
-func (o *Owner) enter(w *tree.Workload, req *wire.Call, left time.Duration) (*task, error) {
+// startOrQueue places a call at once or queues it. The lock is held.
+func (o *Owner) startOrQueue(w *tree.Workload, req *wire.Call, left time.Duration) (*task, error) {
 	o.checkPause()
 	if o.draining {
 		return nil, kind.New(kind.Stopping, "")
 	}
-	if o.byID[req.Id] != nil {
-		return nil, kind.New(kind.Conflict, "this call is in progress here")
+	if o.tasksByID[req.Id] != nil {
+		return nil, kind.New(kind.Conflict, "a call with this ID is in progress")
 	}
 	now := o.now()
 	o.cell.RecordCallArrival(w.Demand, now)
@@ -123,30 +122,30 @@
 	st := o.schedTask(t)
 	st.StartBy = o.startBy(w, now, left)
 	if h, id, ok := o.cell.TryStart(st, now); ok {
-		o.book(t, h, id)
+		o.recordPlacement(t, h, id)
 		return t, nil
 	}
-	if err := o.mayWait(&st, req, now); err != nil {
-		delete(o.byRef, t.ref)
-		delete(o.byID, t.spec.ID)
+	if err := o.checkAdmission(&st, req, now); err != nil {
+		delete(o.tasksByRef, t.ref)
+		delete(o.tasksByID, t.spec.ID)
 		return nil, err
 	}
-	t.call = newPendingCall()
+	t.pending = newPendingCall()
 	t.handle = o.cell.Submit(st, now)
-	o.step()
+	o.schedule()
 	return t, nil
 }
 
-// startBy is the latest time at which the call may start.
+// startBy returns the latest time at which the call may start.
 func (o *Owner) startBy(w *tree.Workload, now, left time.Duration) time.Duration {
-	by := now + left - o.estimate(w)
+	by := now + left - o.expectedDuration(w)
 	if w.StartWithin > 0 {
 		by = min(by, now+w.StartWithin)
 	}
 	return max(by, now+1)
 }
 
-func (o *Owner) mayWait(st *sched.Task, req *wire.Call, now time.Duration) error {
+func (o *Owner) checkAdmission(st *sched.Task, req *wire.Call, now time.Duration) error {
 	verdict, after := o.cell.Admit(st, now)
 	switch {
 	case verdict == sched.QueueFull:
@@ -159,26 +158,26 @@
 	return nil
 }
 
-// book notes where a task was placed. The lock is held.
-func (o *Owner) book(t *task, h sched.Handle, id sched.WorkerID) {
+// recordPlacement records where a task was placed. The lock is held.
+func (o *Owner) recordPlacement(t *task, h sched.Handle, id sched.WorkerID) {
 	t.handle = h
 	t.worker = o.workers[id]
 	t.rack = t.worker.rack
-	t.placed = o.now()
+	t.placedAt = o.now()
 }
 
-// withdraw takes a call out of the queue whose time is up.
-func (o *Owner) withdraw(t *task) error {
+// expireCall removes a call from the queue when its time is up.
+func (o *Owner) expireCall(t *task) error {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if t.worker != nil {
-		// It was placed at this very moment; it has not been sent.
-		o.forget(t)
+		// It was placed in the meantime, but has not been sent.
+		o.removeTask(t)
 	}
-	if o.byRef[t.ref] != nil {
-		o.forget(t)
+	if o.tasksByRef[t.ref] != nil {
+		o.removeTask(t)
 	}
-	return kind.New(kind.Deadline, "no room before the deadline").After(o.retryAfter(t))
+	return kind.New(kind.Deadline, "no worker had room before the deadline").After(o.retryAfter(t))
 }
 
 func (o *Owner) retryAfter(t *task) time.Duration {
@@ -187,24 +186,23 @@
 
 const minRetryAfter = 100 * time.Millisecond
 
-// endCall takes a call off the books, unless its worker may still run it.
+// endCall removes a call, unless its worker may still run it.
 func (o *Owner) endCall(t *task) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	t.callerWaits = false
 	if t.sent && !t.absent && !t.stopped {
-		// Its worker may still run it; the next report settles it.
+		// Its worker may still run it; the next report decides.
 		return
 	}
 	if t.absent && t.job != nil {
-		o.settle(t.job, job.Refused, func(j *job.Job) { j.Why = "the worker never had it" })
+		o.endJob(t.job, job.Refused, func(j *job.Job) { j.Why = "the worker never had it" })
 	}
-	o.forget(t)
-	o.step()
+	o.removeTask(t)
+	o.schedule()
 }
 
-// runCall sends a placed call to its worker, and to another one as long as it
-// is refused for certain.
+// runCall sends a placed call to its worker and, after a definite refusal, to another one.
 func (o *Owner) runCall(ctx context.Context, t *task, req *wire.Call) (*ports.Answer, error) {
 	if t.spec.Repeat == ports.RepeatNever {
 		if err := o.writeIntent(ctx, t, req); err != nil {
@@ -214,21 +212,21 @@
 		return o.runOnce(ctx, t)
 	}
 	var err error
-	for range maxPlaces {
+	for range maxPlacements {
 		var ans *ports.Answer
 		ans, err = o.send(ctx, t)
 		if err == nil || kind.Of(err).Outcome != kind.NotRun || ctx.Err() != nil {
 			return ans, err
 		}
-		if !o.replace(t) {
+		if !o.placeAgain(t) {
 			return nil, err
 		}
 	}
 	return nil, err
 }
 
-// replace places a call anew that its worker refused for certain.
-func (o *Owner) replace(t *task) bool {
+// placeAgain places a call again after its worker definitely refused it.
+func (o *Owner) placeAgain(t *task) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.draining {
@@ -241,8 +239,8 @@
 	if !ok {
 		return false
 	}
-	o.book(t, h, id)
+	o.recordPlacement(t, h, id)
 	t.spec.Attempt++
-	o.byRef[t.ref], o.byID[t.spec.ID] = t, t
+	o.tasksByRef[t.ref], o.tasksByID[t.spec.ID] = t, t
 	return true
 }
--- a/owner/doc.go
+++ b/owner/doc.go
@@ -1,26 +1,24 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package owner runs the racks that an instance owns.
+// Package owner runs the tasks of the racks that an instance owns.
 //
-// An Owner holds one sched.Cell over the workers of all its racks. For each
-// worker it runs one loop: attach, which raises the worker's epoch and brings
-// back all that runs there, then watch, which renews the worker's leases and
-// brings its changes. Nothing is placed on a worker that is not attached.
+// An Owner holds one sched.Cell with the workers of all its racks. For each worker it runs a
+// loop of two steps: attach, which raises the worker's epoch and returns all tasks that it has,
+// and watch, which renews the worker's leases and returns changes. Nothing is placed on a
+// worker that is not attached.
 //
-// Whenever the answer of a command is lost, the same remedy applies: the
-// worker is attached again under the next epoch. A command of the epoch before
-// can then no longer be accepted, and what the worker reports is the truth
-// about all that was sent to it. A worker that cannot be reached keeps its
-// tasks on the books until their leases are surely over.
+// Whenever the reply to a command is lost, the worker is attached again under the next epoch.
+// The worker then refuses any command of an earlier epoch, and what it reports is the final
+// word on all that was sent to it. The tasks of a worker that cannot be reached are kept until
+// their leases have certainly expired.
 //
-// Calls are placed at once or wait in the cell's queue while their caller
-// waits on the connection. Jobs have a row in the table, which names their
-// rack; the Owner loads the rows of a rack when it adopts it and writes them
-// through the journal, each time with a check that the rack is still its own.
-// A call that must not be repeated is both: its row is written before it is
-// sent.
+// Calls are placed at once, or wait in the cell's queue while their caller waits on the
+// connection. A job has a row in the table, which names its rack. The Owner loads the rows of a
+// rack when it adopts the rack, and writes them through the journal, each time on condition
+// that it still owns the rack. A call that must not be repeated has a row as well, which is
+// written before the call is sent.
 //
-// A job whose last worker cannot be asked is started again only when that
-// worker is attached and does not have it, or when its leases are surely over.
-// Work that must not be repeated is not started again at all.
+// If the last worker of a job cannot be reached, the job is started again only when that worker
+// is attached and does not have it, or when its leases have certainly expired. Work that must
+// not be repeated is never started again.
 package owner
--- a/owner/estimate.go
+++ b/owner/estimate.go
@@ -11,34 +11,34 @@
 )
 
 const (
-	// The histograms reach from a millisecond to a day with one significant
-	// digit: a few hundred bytes each.
+	// The histograms cover a millisecond to a day with one significant digit. Each takes a few
+	// hundred bytes.
 	maxEstimateMS  = 24 * 60 * 60 * 1000
 	estimateDigits = 1
-	// minSamples is how many runs must be known before they count for more
-	// than the operator's own estimate.
+	// minSamples is the number of runs after which the measured durations replace the estimate
+	// from the tree.
 	minSamples       = 10
 	estimateQuantile = 90
 )
 
-// estimate learns how long the tasks of a workload run.
-type estimate struct {
+// durationEstimate holds how long the tasks of a workload ran.
+type durationEstimate struct {
 	histogram *hdrhistogram.Histogram
 }
 
-// learn takes in how long a task ran.
-func (o *Owner) learn(w *tree.Workload, ran time.Duration) {
-	e := o.history[w.Path]
+// recordDuration records how long a task ran.
+func (o *Owner) recordDuration(w *tree.Workload, ran time.Duration) {
+	e := o.durations[w.Path]
 	if e == nil {
-		e = &estimate{histogram: hdrhistogram.New(1, maxEstimateMS, estimateDigits)}
-		o.history[w.Path] = e
+		e = &durationEstimate{histogram: hdrhistogram.New(1, maxEstimateMS, estimateDigits)}
+		o.durations[w.Path] = e
 	}
 	_ = e.histogram.RecordValue(min(max(ran.Milliseconds(), 1), maxEstimateMS))
 }
 
-// estimate returns how long a task of the workload is expected to run.
-func (o *Owner) estimate(w *tree.Workload) time.Duration {
-	e := o.history[w.Path]
+// expectedDuration returns how long a task of the workload is expected to run.
+func (o *Owner) expectedDuration(w *tree.Workload) time.Duration {
+	e := o.durations[w.Path]
 	if e == nil || e.histogram.TotalCount() < minSamples {
 		return w.Estimate
 	}
--- a/owner/handover.go
+++ b/owner/handover.go
@@ -7,17 +7,17 @@
 	"time"
 )
 
-// settlePoll is how often a rack that is about to be handed over is looked at.
-const settlePoll = 5 * time.Millisecond
+// handoverPollInterval is how often Close checks whether a rack can be handed over.
+const handoverPollInterval = 5 * time.Millisecond
 
-// Close implements hall.Racks. A call whose row is written and that was not
-// sent yet would be fenced by the next owner, and refused although nothing
-// failed; so the rack takes nothing new, and what was placed is sent first.
+// Close implements hall.Racks. It stops new work on the rack and waits until everything that
+// was placed has been sent. A call whose row is written but which is not yet sent would be
+// fenced off by the next owner, and so be refused although nothing failed.
 func (o *Owner) Close(ctx context.Context, name string) bool {
 	o.setClosing(name, true)
-	for !o.settled(name) {
+	for !o.handoverReady(name) {
 		select {
-		case <-time.After(settlePoll):
+		case <-time.After(handoverPollInterval):
 		case <-ctx.Done():
 			return false
 		}
@@ -30,7 +30,7 @@
 	o.setClosing(name, false)
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.step()
+	o.schedule()
 }
 
 func (o *Owner) setClosing(name string, closing bool) {
@@ -42,13 +42,13 @@
 	}
 	r.closing = closing
 	for _, w := range r.workers {
-		o.gate(w)
+		o.updateAvailability(w)
 	}
 }
 
-// settled reports whether all that was placed on a rack has been sent, and no
-// row of it is being created.
-func (o *Owner) settled(name string) bool {
+// handoverReady reports whether everything placed on a rack has been sent and no row of the
+// rack is being created.
+func (o *Owner) handoverReady(name string) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	for _, r := range o.creating {
@@ -56,7 +56,7 @@
 			return false
 		}
 	}
-	for _, t := range o.byRef {
+	for _, t := range o.tasksByRef {
 		if t.worker != nil && t.worker.rack.name == name && !t.sent {
 			return false
 		}
--- a/owner/jobs.go
+++ b/owner/jobs.go
@@ -14,11 +14,11 @@
 )
 
 const (
-	// maxInline is the size up to which an answer is kept in the job's row.
-	maxInline  = 16 << 10
-	submitTime = 2 * time.Second
-	pageSize   = 200
-	actTries   = 3
+	// maxInlineAnswer is the size in bytes up to which an answer is stored in the job's row.
+	maxInlineAnswer = 16 << 10
+	writeTimeout    = 2 * time.Second
+	indexPageSize   = 200
+	maxActAttempts  = 3
 )
 
 // jobState is a job of an owned rack.
@@ -27,41 +27,41 @@
 	version uint64
 	rack    *rack
 	task    *task
-	// limbo is set while nobody can tell yet whether an attempt runs.
-	limbo bool
-	// unread is set while the row must be read again before a start, because
-	// others may have moved the job.
-	unread bool
-	// cancelling is set once its caller asked for its end.
+	// inDoubt is set while it is unknown whether an attempt runs.
+	inDoubt bool
+	// mustReread is set while the row must be read again before a start, because others may
+	// have moved the job.
+	mustReread bool
+	// cancelling is set once the job's caller has asked to cancel it.
 	cancelling bool
-	// dirty is set while the row in the table is behind.
+	// dirty is set while the row in the table is out of date.
 	dirty  bool
 	saving bool
-	// acks are the attempts that their workers may forget once the row is
-	// written.
+	// acks are the attempts to acknowledge to their workers, which may then forget them, once
+	// the row is written.
 	acks []ack
-	// done is closed when the job is over, or lost to this owner.
-	done    chan struct{}
-	settled bool
-	err     error
+	// done is closed when the job is over, or when another owner has it.
+	done   chan struct{}
+	isDone bool
+	err    error
 }
 
 func newJobState(row job.Job, version uint64, r *rack) *jobState {
 	return &jobState{row: row, version: version, rack: r, done: make(chan struct{})}
 }
 
-// finish tells those who wait for the job.
+// finish wakes those who wait for the job.
 func (js *jobState) finish(err error) {
-	if js.settled {
+	if js.isDone {
 		return
 	}
-	js.settled = true
+	js.isDone = true
 	js.err = err
 	close(js.done)
 }
 
-// Submit writes a new job down and takes it in. An error of kind Conflict
-// whose cause is a commit.Conflict names the rows that came first.
+// Submit writes the rows of a new job and queues it. An error of kind Conflict whose cause is a
+// commit.Conflict names the rows that existed already.
 func (o *Owner) Submit(ctx context.Context, row job.Job) (job.Job, error) {
 	w, err := o.Tree.Now().Lookup(row.Workload)
 	if err != nil {
@@ -69,30 +69,30 @@
 	}
 	o.mu.Lock()
 	r := o.racks[row.Rack]
-	refusal := o.mayAccept(r, w)
+	refusal := o.checkSubmit(r, w)
 	o.mu.Unlock()
 	if refusal != nil {
 		return row, refusal
 	}
 	row.State = job.Queued
 	js := newJobState(row, 0, r)
-	if err := o.create(ctx, js); err != nil {
+	if err := o.createRows(ctx, js); err != nil {
 		return row, err
 	}
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	delete(o.creating, row.ID)
 	if o.racks[row.Rack] != r {
-		// The next owner finds the row.
+		// The next owner loads the row.
 		return row, nil
 	}
 	o.jobs[row.ID] = js
 	o.enqueue(js)
-	o.step()
+	o.schedule()
 	return row, nil
 }
 
-func (o *Owner) mayAccept(r *rack, w *tree.Workload) error {
+func (o *Owner) checkSubmit(r *rack, w *tree.Workload) error {
 	switch {
 	case o.draining:
 		return kind.New(kind.Stopping, "")
@@ -100,7 +100,7 @@
 		return kind.New(kind.Fenced, "the rack has another owner")
 	case r.closing:
 		return kind.New(kind.Fenced, "the rack is being handed over")
-	case r.row == 0:
+	case r.rowVersion == 0:
 		return kind.New(kind.CutOff, "the rack was taken without the table")
 	}
 	waiting := 0
@@ -116,12 +116,12 @@
 	return nil
 }
 
-// enqueue lets a job wait for a worker. The lock is held.
+// enqueue queues a job for placement. The lock is held.
 func (o *Owner) enqueue(js *jobState) {
 	w, err := o.Tree.Now().Lookup(js.row.Workload)
 	if err != nil || js.task != nil {
-		// A workload that was taken out of the tree holds its jobs; they go on
-		// when it is back. See release.
+		// The jobs of a workload that was removed from the tree wait until it is added again.
+		// See resolveDoubt.
 		return
 	}
 	t := o.newTask(w, ports.Task{
@@ -129,7 +129,7 @@
 		Repeat: js.row.Repeat, Payload: js.row.Payload, Checkpoint: js.row.Checkpoint,
 	})
 	t.job, t.rack = js, js.rack
-	t.queued = o.now()
+	t.queuedAt = o.now()
 	js.task = t
 	t.handle = o.cell.Submit(o.schedTask(t), o.now())
 }
@@ -143,12 +143,12 @@
 	fault.At(fault.Placed)
 	o.mu.Lock()
 	w := t.worker
-	if w == nil || o.byRef[t.ref] != t {
+	if w == nil || o.tasksByRef[t.ref] != t {
 		o.mu.Unlock()
 		return
 	}
 	if !w.attached {
-		o.neverRan(t)
+		o.handleNotRun(t)
 		o.mu.Unlock()
 		return
 	}
@@ -161,41 +161,41 @@
 		_, err = api.Start(ctx, cmd, t.spec, o.TaskLease)
 	}
 	fault.At(fault.Accepted)
-	o.started(t, err)
+	o.handleStartResult(t, err)
 }
 
-// started takes in the outcome of a job's start.
-func (o *Owner) started(t *task, err error) {
+// handleStartResult handles the result of sending a job to its worker.
+func (o *Owner) handleStartResult(t *task, err error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if o.byRef[t.ref] != t {
+	if o.tasksByRef[t.ref] != t {
 		return
 	}
 	e := kind.Of(err)
 	switch {
 	case err == nil:
-		o.running(t)
+		o.markRunning(t)
 	case e.Kind == kind.Leaving:
 		t.worker.leaving = true
-		o.gate(t.worker)
-		o.neverRan(t)
+		o.updateAvailability(t.worker)
+		o.handleNotRun(t)
 	case e.Kind == kind.Fenced || e.Kind == kind.Unavailable || e.Kind == kind.Conflict:
-		o.suspect(t.worker)
-		o.neverRan(t)
+		o.reattach(t.worker)
+		o.handleNotRun(t)
 	default:
-		// Attaching again shows whether the worker has it.
-		o.suspect(t.worker)
+		// The next attach shows whether the worker has it.
+		o.reattach(t.worker)
 	}
-	o.step()
+	o.schedule()
 }
 
-// Cancel ends a job of an owned rack.
+// Cancel cancels a job of an owned rack.
 func (o *Owner) Cancel(id string) (job.Job, error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	js := o.jobs[id]
 	if js == nil {
-		return job.Job{}, kind.New(kind.NotFound, "the job is not here")
+		return job.Job{}, kind.New(kind.NotFound, "no job with this ID on the owned racks")
 	}
 	if js.row.State.Over() {
 		return js.row, nil
@@ -203,35 +203,35 @@
 	js.cancelling = true
 	t := js.task
 	switch {
-	case t == nil && js.row.State == job.Queued && !js.limbo:
-		o.settle(js, job.Cancelled, func(*job.Job) {})
+	case t == nil && js.row.State == job.Queued && !js.inDoubt:
+		o.endJob(js, job.Cancelled, func(*job.Job) {})
 	case t != nil && t.worker == nil:
-		o.settle(js, job.Cancelled, func(*job.Job) {})
-		o.drop(t)
+		o.endJob(js, job.Cancelled, func(*job.Job) {})
+		o.removeJobTask(t)
 	case t != nil && t.worker != nil && t.sent:
-		go o.act(t, t.worker, ports.ActStop)
+		go o.sendAction(t, t.worker, ports.ActStop)
 	}
 	return js.row, nil
 }
 
-// act throttles, resumes, saves or stops a task at its worker. That a task is over
-// is then told by the worker's watch, or, for a call, on its caller's connection.
-func (o *Owner) act(t *task, w *worker, a ports.Action) {
-	for range actTries {
+// sendAction asks a worker to throttle, resume, checkpoint or stop a task. The end of the task
+// is reported by the worker's watch or, for a call, on the connection of its caller.
+func (o *Owner) sendAction(t *task, w *worker, a ports.Action) {
+	for range maxActAttempts {
 		o.mu.Lock()
 		api, cmd, id, attempt := w.api, o.command(w), t.spec.ID, t.spec.Attempt
-		gone := o.byRef[t.ref] != t
+		removed := o.tasksByRef[t.ref] != t
 		o.mu.Unlock()
-		if gone {
+		if removed {
 			return
 		}
 		rep, err := api.Act(w.rack.ctx, cmd, id, attempt, a)
 		if err == nil {
-			o.acted(t, w, a, rep)
+			o.handleActionResult(t, w, a, rep)
 			return
 		}
 		select {
-		case <-time.After(attachFirst):
+		case <-time.After(minBackoff):
 		case <-w.rack.ctx.Done():
 			return
 		}
@@ -240,23 +240,24 @@
 	defer o.mu.Unlock()
 	t.stopped = false
 	o.cell.RecordPreemptionFailed(t.handle)
-	o.suspect(w)
+	o.reattach(w)
 }
 
-func (o *Owner) acted(t *task, w *worker, a ports.Action, rep ports.TaskReport) {
+func (o *Owner) handleActionResult(t *task, w *worker, a ports.Action, rep ports.TaskReport) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if o.byRef[t.ref] != t {
+	if o.tasksByRef[t.ref] != t {
 		return
 	}
 	if rep.State.Over() && !t.callerWaits {
-		// The watch tells of it in order. Taken in here, an end may overtake a report
-		// that the task runs, and the attempt after the next starts beside the next.
+		// The watch reports the end in order. If it were applied here, it could overtake a
+		// report that the task runs. That report would then count for the next attempt, and the
+		// attempt after that would start while the next one runs.
 		return
 	}
 	if rep.State == ports.TaskThrottled && a == ports.ActThrottle {
 		o.cell.RecordThrottled(t.handle)
 	}
-	o.report(w, rep)
-	o.step()
+	o.applyReport(w, rep)
+	o.schedule()
 }
--- a/owner/load.go
+++ b/owner/load.go
@@ -14,25 +14,25 @@
 	"dewpass.org/tree"
 )
 
-// load reads the jobs of a rack that was adopted.
-func (o *Owner) load(r *rack) {
+// loadJobs reads the jobs of an adopted rack, with retries.
+func (o *Owner) loadJobs(r *rack) {
 	for r.ctx.Err() == nil {
-		err := o.loadAll(r)
+		err := o.loadIndex(r)
 		if err == nil {
 			return
 		}
-		level.Warn(o.Log).Log("msg", "jobs of rack not loaded", "rack", r.name, "err", err)
+		level.Warn(o.Log).Log("msg", "loading the jobs of a rack failed, retrying", "rack", r.name, "err", err)
 		select {
-		case <-time.After(attachMost):
+		case <-time.After(maxBackoff):
 		case <-r.ctx.Done():
 		}
 	}
 }
 
-func (o *Owner) loadAll(r *rack) error {
+func (o *Owner) loadIndex(r *rack) error {
 	after := ""
 	for {
-		index, err := o.Table.Scan(r.ctx, job.IndexPrefix(r.name), after, pageSize)
+		index, err := o.Table.Scan(r.ctx, job.IndexPrefix(r.name), after, indexPageSize)
 		if err != nil {
 			return err
 		}
@@ -48,34 +48,34 @@
 	defer o.mu.Unlock()
 	r.loaded = true
 	for _, w := range r.workers {
-		// What its workers said before the rows were known is asked again.
-		if w.attached && r.ignored {
-			o.suspect(w)
+		// Ask again for what the workers reported before the rows were known.
+		if w.attached && r.ignoredReports {
+			o.reattach(w)
 		}
 	}
-	o.stopStrays(r)
-	o.releaseAll(r)
-	o.step()
+	o.stopUnownedTasks(r)
+	o.resolveDoubts(r)
+	o.schedule()
 	return nil
 }
 
-// stopStrays ends the tasks of a rack whose job is not one of its own: it was
-// cancelled or moved while nobody could tell the worker. A call whose caller
-// waits here is no stray: its row is just being written.
-func (o *Owner) stopStrays(r *rack) {
-	for _, t := range o.byRef {
+// stopUnownedTasks stops the tasks of a rack that have no job there: the job was cancelled or
+// moved while the worker could not be told. A call whose caller waits here is left alone,
+// because its row is just being written.
+func (o *Owner) stopUnownedTasks(r *rack) {
+	for _, t := range o.tasksByRef {
 		if t.callerWaits || t.stopped {
 			continue
 		}
 		if t.rack == r && t.worker != nil && t.job == nil && hasRow(t.spec) {
 			t.stopped = true
-			go o.act(t, t.worker, ports.ActStop)
+			go o.sendAction(t, t.worker, ports.ActStop)
 		}
 	}
 }
 
 func (o *Owner) loadPage(r *rack, index []ports.Row) error {
-	keys := o.missing(r, index)
+	keys := o.unknownRowKeys(r, index)
 	if len(keys) == 0 {
 		return nil
 	}
@@ -93,14 +93,14 @@
 		if err != nil || row.Version == 0 || o.jobs[j.ID] != nil || o.creating[j.ID] != nil {
 			continue
 		}
-		o.takeIn(newJobState(j, row.Version, r))
+		o.addLoadedJob(newJobState(j, row.Version, r))
 	}
 	return nil
 }
 
-// missing returns the keys of the rows of indexed jobs that are not known here.
-// A look at the index of a rack that has long been owned finds hardly any.
-func (o *Owner) missing(r *rack, index []ports.Row) []string {
+// unknownRowKeys returns the keys of the rows of indexed jobs that are not known here. Once a
+// rack has been owned for some time, there are hardly any.
+func (o *Owner) unknownRowKeys(r *rack, index []ports.Row) []string {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	var keys []string
@@ -112,45 +112,45 @@
 	return keys
 }
 
-// takeIn takes in a job that was another owner's. It stays in limbo until its
-// workers have shown whether they run it.
-func (o *Owner) takeIn(js *jobState) {
+// addLoadedJob adds a job that belonged to another owner. It is in doubt until the workers have
+// shown whether they run it.
+func (o *Owner) addLoadedJob(js *jobState) {
 	o.jobs[js.row.ID] = js
 	if js.row.State.Over() {
-		// Only its index row is left.
+		// Only its index row is left to delete.
 		o.persist(js)
 		return
 	}
-	js.limbo = true
-	t := o.byID[js.row.ID]
+	js.inDoubt = true
+	t := o.tasksByID[js.row.ID]
 	if t == nil || t.worker == nil {
 		return
 	}
-	t.job, js.task, js.limbo = js, t, false
+	t.job, js.task, js.inDoubt = js, t, false
 	if !t.spec.Call {
-		o.running(t)
+		o.markRunning(t)
 	}
 }
 
-// releaseAll looks at the jobs in limbo of a rack again.
-func (o *Owner) releaseAll(r *rack) {
+// resolveDoubts calls resolveDoubt for all jobs of a rack.
+func (o *Owner) resolveDoubts(r *rack) {
 	if !r.loaded {
 		return
 	}
 	for _, js := range o.jobs {
 		if js.rack == r {
-			o.release(js)
+			o.resolveDoubt(js)
 		}
 	}
 }
 
-// release ends the limbo of a job as soon as it is certain that no worker runs
-// it. The lock is held.
-func (o *Owner) release(js *jobState) {
-	if js.task != nil || js.row.State.Over() || js.unread {
+// resolveDoubt queues a job, or ends it, as soon as it is certain that no worker runs it. The
+// lock is held.
+func (o *Owner) resolveDoubt(js *jobState) {
+	if js.task != nil || js.row.State.Over() || js.mustReread {
 		return
 	}
-	if !js.limbo {
+	if !js.inDoubt {
 		if js.row.State == job.Queued {
 			o.enqueue(js)
 		}
@@ -158,46 +158,47 @@
 	}
 	switch {
 	case js.row.Repeat == ports.RepeatNever && js.row.State != job.Queued:
-		o.releaseOnce(js)
-	case js.row.Repeat == ports.RepeatNever || o.nobodyRuns(js):
-		js.limbo = false
+		o.resolveNoRepeat(js)
+	case js.row.Repeat == ports.RepeatNever || o.noWorkerRuns(js):
+		js.inDoubt = false
 		if js.cancelling {
-			o.settle(js, job.Cancelled, func(*job.Job) {})
+			o.endJob(js, job.Cancelled, func(*job.Job) {})
 			return
 		}
 		if js.row.State != job.Queued {
-			o.change(js, job.Queued, func(j *job.Job) { j.Worker, j.Incarnation = "", "" })
+			o.setState(js, job.Queued, func(j *job.Job) { j.Worker, j.Incarnation = "", "" })
 		}
 		o.enqueue(js)
 	}
 }
 
-// movable reports whether others may move a job while this instance is away.
-func (o *Owner) movable(js *jobState) bool {
+// movableWhenCutOff reports whether others may move a job while this instance is cut off.
+func (o *Owner) movableWhenCutOff(js *jobState) bool {
 	w := o.Tree.Now().Workloads[js.row.Workload]
 	return w != nil && w.CutOff == tree.Move
 }
 
-// releaseOnce settles work that must not be repeated once the worker that it
-// was sent to has shown that it does not have it.
-func (o *Owner) releaseOnce(js *jobState) {
+// resolveNoRepeat ends work that must not be repeated once the worker that it was sent to has
+// shown that it does not have it.
+func (o *Owner) resolveNoRepeat(js *jobState) {
 	w := js.rack.workers[js.row.Worker]
 	if w == nil || !w.attached || js.row.State == job.Unknown && w.incarnation != js.row.Incarnation {
 		return
 	}
 	if w.incarnation == js.row.Incarnation {
-		js.limbo = false
-		o.settle(js, job.Refused, func(j *job.Job) { j.Why = "the worker never had it" })
+		js.inDoubt = false
+		o.endJob(js, job.Refused, func(j *job.Job) { j.Why = "the worker never had it" })
 		return
 	}
-	o.settle(js, job.Unknown, func(j *job.Job) { j.Why = "the worker was restarted" })
+	o.endJob(js, job.Unknown, func(j *job.Job) { j.Why = "the worker was restarted" })
 }
 
-// nobodyRuns reports whether no worker of the rack can be running a job: every
-// one is attached and does not have it, or is set as lost, or has surely
-// stopped it, as most workers of the rack bear out or by the rule for halls
-// that are cut off.
-func (o *Owner) nobodyRuns(js *jobState) bool {
+// noWorkerRuns reports whether it is certain that no worker of the rack runs a job. This is so
+// if the hall is declared lost in the tree; if every worker is attached and does not have the
+// job, or is declared lost; if the workers that are not attached have certainly stopped (see
+// detachedStopped); or if the time has passed after which jobs are moved out of a hall that is
+// cut off.
+func (o *Owner) noWorkerRuns(js *jobState) bool {
 	c := o.Tree.Now()
 	if c.Lost[o.Hall] {
 		return true
@@ -205,11 +206,11 @@
 	w := c.Workloads[js.row.Workload]
 	if w != nil && w.CutOff == tree.Move {
 		stopped := w.MoveAfter + lease.Margin(w.MoveAfter) + 2*o.TaskLease
-		if clock.Since(js.rack.since) > stopped {
+		if clock.Since(js.rack.ownedSince) > stopped {
 			return true
 		}
 	}
-	if o.othersStopped(js.rack, clock.Now()) {
+	if o.detachedStopped(js.rack, clock.Now()) {
 		return true
 	}
 	for name, worker := range js.rack.workers {
--- a/owner/overflow.go
+++ b/owner/overflow.go
@@ -15,48 +15,48 @@
 )
 
 const (
-	// overflowAfter is how long a job waits for its own rack before it is moved
-	// to another one that has room.
-	overflowAfter = time.Second
-	// overflowMost bounds the jobs that leave a rack in one second.
-	overflowMost = 16
+	// overflowDelay is how long a job waits for its own rack before it may be moved to a rack
+	// with room.
+	overflowDelay = time.Second
+	// maxOverflow is the number of jobs that may be moved off a rack per second.
+	maxOverflow = 16
 )
 
-// overflow moves jobs that wait to racks that have room. A rack that is full,
-// or whose workers are dead, keeps no job waiting for it. The lock is held.
+// overflow moves waiting jobs to racks with room, so that no job waits for a rack that is full
+// or whose workers are dead. The lock is held.
 func (o *Owner) overflow(r *rack) {
-	if r.row == 0 || o.away || o.draining {
+	if r.rowVersion == 0 || o.cutOff || o.draining {
 		return
 	}
-	left := overflowMost
+	left := maxOverflow
 	for _, js := range o.jobs {
 		if left == 0 {
 			return
 		}
-		if js.rack == r && o.overflows(js) {
+		if js.rack == r && o.mayOverflow(js) {
 			left--
-			o.moveAway(js)
+			o.moveToOtherRack(js)
 		}
 	}
 }
 
-// overflows reports whether a job waits, has waited for long enough, and may
-// be moved: no worker can be running it.
-func (o *Owner) overflows(js *jobState) bool {
+// mayOverflow reports whether a job has waited long enough and can be moved because no worker
+// can be running it.
+func (o *Owner) mayOverflow(js *jobState) bool {
 	t := js.task
-	if t == nil || t.worker != nil || js.limbo || js.unread || js.dirty || js.saving || js.cancelling {
+	if t == nil || t.worker != nil || js.inDoubt || js.mustReread || js.dirty || js.saving || js.cancelling {
 		return false
 	}
-	return js.row.State == job.Queued && o.now()-t.queued > overflowAfter && !o.early(js)
+	return js.row.State == job.Queued && o.now()-t.queuedAt > overflowDelay && !o.beforeWindow(js)
 }
 
-// early reports whether a job's window is still to come.
-func (o *Owner) early(js *jobState) bool {
+// beforeWindow reports whether the job's earliest start is still to come.
+func (o *Owner) beforeWindow(js *jobState) bool {
 	return js.row.NotBefore != nil && clock.Wall().Before(*js.row.NotBefore)
 }
 
-// moveAway writes a job to another rack with room, if there is one.
-func (o *Owner) moveAway(js *jobState) {
+// moveToOtherRack moves a job to another rack with room, if there is one.
+func (o *Owner) moveToOtherRack(js *jobState) {
 	t := js.task
 	h, rack, ok := o.Elsewhere(t.spec.Demand, js.rack.name)
 	if !ok {
@@ -64,25 +64,25 @@
 	}
 	row := js.row
 	row.Hall, row.Rack = h, rack
-	change := commit.Change{Checks: o.checks(js), Puts: puts(row)}
+	change := commit.Change{Checks: o.rowChecks(js), Puts: rowPuts(row)}
 	change.Puts = append(change.Puts, ports.Put{Key: job.IndexKey(js.row.Rack, row.ID), Delete: true})
-	o.drop(t)
+	o.removeJobTask(t)
 	js.saving = true
-	js.unread = true
-	go o.finishMove(js, row, change)
+	js.mustReread = true
+	go o.commitMove(js, row, change)
 }
 
-// finishMove commits a move. The job was taken out of the queue before; when
-// the move fails, its row tells where it is.
-func (o *Owner) finishMove(js *jobState, row job.Job, change commit.Change) {
-	ctx, cancel := context.WithTimeout(js.rack.ctx, submitTime)
+// commitMove writes a move. The job is already out of the queue; if the move fails, its row
+// tells which rack it belongs to.
+func (o *Owner) commitMove(js *jobState, row job.Job, change commit.Change) {
+	ctx, cancel := context.WithTimeout(js.rack.ctx, writeTimeout)
 	defer cancel()
 	version, err := o.Journal.Commit(ctx, change)
 	if err != nil {
-		o.moveFailed(js)
+		o.recoverMove(js)
 		return
 	}
-	level.Debug(o.Log).Log("msg", "job moved", "job", row.ID, "rack", row.Rack)
+	level.Debug(o.Log).Log("msg", "job moved to another rack", "job", row.ID, "rack", row.Rack)
 	o.mu.Lock()
 	if o.jobs[row.ID] == js {
 		delete(o.jobs, row.ID)
@@ -96,9 +96,9 @@
 	o.Tell(row, version)
 }
 
-// moveFailed reads the row of a job whose move has an unknown end. An empty
-// change through the journal settles the fate of those before it.
-func (o *Owner) moveFailed(js *jobState) {
+// recoverMove reads the row of a job after a move with an unknown result. The empty change
+// makes sure that all earlier transactions of the journal have ended.
+func (o *Owner) recoverMove(js *jobState) {
 	if _, err := o.Journal.Commit(js.rack.ctx, commit.Change{}); err != nil {
 		return
 	}
@@ -112,7 +112,7 @@
 	if row.Version > 0 {
 		js.version = row.Version
 	}
-	o.reread(js.rack, js.row.ID, row)
-	o.release(js)
-	o.step()
+	o.applyRow(js.rack, js.row.ID, row)
+	o.resolveDoubt(js)
+	o.schedule()
 }
--- a/owner/owner.go
+++ b/owner/owner.go
@@ -23,9 +23,10 @@
 	"dewpass.org/tree"
 )
 
-// Config is what an Owner works with.
+// Config holds the settings and dependencies of an Owner.
 type Config struct {
-	// Name is the name under which this start of the instance owns racks.
+	// Name is the name under which this process owns racks. Each start of the instance has
+	// another one.
 	Name    string
 	Hall    string
 	Connect func(addr string) ports.Worker
@@ -33,85 +34,87 @@
 	Objects ports.Objects
 	Journal *commit.Journal
 	Tree    *tree.Register
-	// Shown returns when the instance last showed in the table that it lives.
+	// Shown returns the time of the instance's last heartbeat in the table.
 	Shown func() time.Time
-	// Elsewhere returns another rack with room for a demand, and Tell tells its
-	// owner of a job that was moved there.
+	// Elsewhere returns another rack with room for a demand. Tell notifies the owner of that
+	// rack of a job that was moved there.
 	Elsewhere func(demand sched.Vec, not string) (hall, rack string, ok bool)
 	Tell      func(row job.Job, version uint64)
-	// Lost is called when a worker or the table shows that a rack may be
-	// another's.
+	// Lost is called when a worker or the table indicates that another owner may have a rack.
 	Lost   func()
 	Log    log.Logger
 	Scope  tally.Scope
 	Tracer trace.Tracer
-	// TaskLease is how long tasks go on at a worker that hears nothing; 0 is
+	// TaskLease is how long tasks keep running on a worker that no owner contacts; 0 means
 	// DefaultTaskLease.
 	TaskLease time.Duration
 }
 
 const (
-	// DefaultTaskLease is longer than a takeover, so that one ends no task.
+	// DefaultTaskLease is longer than a takeover of a rack, so that a takeover ends no task.
 	DefaultTaskLease = 20 * time.Second
-	tickEvery        = 50 * time.Millisecond
+	tickInterval     = 50 * time.Millisecond
 	pauseLimit       = 750 * time.Millisecond
 )
 
-// Owner runs the racks that an instance owns. Make one with New.
+// Owner runs the racks that an instance owns. Use New to create one.
 type Owner struct {
 	Config
 	start time.Time
-	// base ends when the instance does.
-	base context.Context
+	// instanceCtx ends with the instance.
+	instanceCtx context.Context
 
-	mu      sync.Mutex
-	cell    sched.Cell
-	guard   lease.Guard
-	racks   map[string]*rack
-	workers map[sched.WorkerID]*worker
-	byRef   map[uint64]*task
-	byID    map[string]*task
-	jobs    map[string]*jobState
-	// creating holds the ids whose rows are being written, with their racks: a
-	// look at the index of the rack may find them before their caller goes on.
-	creating map[string]*rack
-	names    numbers
-	history  map[string]*estimate
-	nextRef  uint64
-	treeSeen uint64
-	share    float64
-	cellSize int
-	out      []sched.Decision
-	draining bool
-	// away is set while the instance has not shown itself in the table for so
-	// long that others may have moved its jobs.
-	away bool
+	mu         sync.Mutex
+	cell       sched.Cell
+	pauseGuard lease.Guard
+	racks      map[string]*rack
+	workers    map[sched.WorkerID]*worker
+	tasksByRef map[uint64]*task
+	tasksByID  map[string]*task
+	jobs       map[string]*jobState
+	// creating holds the IDs of jobs whose rows are being written, with their racks. A scan of
+	// the rack's index may find such a row before its writer has added the job.
+	creating      map[string]*rack
+	ids           idTable
+	durations     map[string]*durationEstimate
+	nextRef       uint64
+	treeVersion   uint64
+	workerShare   float64
+	listedWorkers int
+	decisions     []sched.Decision
+	draining      bool
+	// cutOff is set while the instance's last heartbeat is so old that others may have moved
+	// its jobs.
+	cutOff bool
 }
 
-// rack is a rack that is owned.
+// rack is an owned rack.
 type rack struct {
-	name    string
-	id      sched.RackID
-	epoch   lease.Epoch
-	row     uint64
-	since   time.Time
-	workers map[string]*worker
-	loaded  bool
-	// looked and scanned are when its jobs and its index were last gone through.
-	looked  time.Time
-	scanned time.Time
-	// mostSince is when more than half of the workers were attached and have
-	// been since; zero while they are not.
-	mostSince time.Time
-	// closing is set while the rack is about to be handed over.
+	name  string
+	id    sched.RackID
+	epoch lease.Epoch
+	// rowVersion is the version of the rack's row in the table; 0 if the rack was taken over
+	// without the table.
+	rowVersion uint64
+	ownedSince time.Time
+	workers    map[string]*worker
+	loaded     bool
+	// checkedAt is when the jobs of the rack were last checked, scannedAt when its index was
+	// last read.
+	checkedAt time.Time
+	scannedAt time.Time
+	// majoritySince is the time since which more than half of the workers have been attached;
+	// zero while they are not.
+	majoritySince time.Time
+	// closing is set while the rack is being handed over.
 	closing bool
-	// ignored is set when a worker reported work whose row was not loaded yet.
-	ignored bool
-	ctx     context.Context
-	cancel  context.CancelFunc
+	// ignoredReports is set when a worker reported work whose row was not loaded yet.
+	ignoredReports bool
+	ctx            context.Context
+	cancel         context.CancelFunc
 }
 
-// task is a task that waits or runs.
+// task is a waiting or running task.
 type task struct {
 	ref      uint64
 	handle   sched.Handle
@@ -120,20 +123,21 @@
 	rack     *rack
 	// worker is where it was placed; nil while it waits.
 	worker *worker
-	// epoch and incarnation are those of its last start.
+	// epoch and incarnation are those of the worker when the task was last started.
 	epoch       lease.Epoch
 	incarnation string
 	sent        bool
 	// absent is set when the worker has shown that it does not have the task.
 	absent bool
-	// call is set while a caller waits for a place.
-	call *pendingCall
-	// callerWaits is set while a caller's goroutine holds the task.
+	// pending is set for a call that was queued.
+	pending *pendingCall
+	// callerWaits is set while the caller's goroutine uses the task.
 	callerWaits bool
 	// job is set for work with a row.
-	job     *jobState
-	placed  time.Duration
-	queued  time.Duration
+	job      *jobState
+	placedAt time.Duration
+	queuedAt time.Duration
+	// stopped is set once the task has been asked to stop or has ended.
 	stopped bool
 }
 
@@ -143,29 +147,29 @@
 		c.TaskLease = DefaultTaskLease
 	}
 	return &Owner{
-		Config:  c,
-		base:    ctx,
-		start:   clock.Now(),
-		guard:   lease.Guard{Limit: pauseLimit},
-		racks:   make(map[string]*rack),
-		workers: make(map[sched.WorkerID]*worker),
-		byRef:   make(map[uint64]*task),
-		byID:    make(map[string]*task),
-		jobs:    make(map[string]*jobState),
+		Config:      c,
+		instanceCtx: ctx,
+		start:       clock.Now(),
+		pauseGuard:  lease.Guard{Limit: pauseLimit},
+		racks:       make(map[string]*rack),
+		workers:     make(map[sched.WorkerID]*worker),
+		tasksByRef:  make(map[uint64]*task),
+		tasksByID:   make(map[string]*task),
+		jobs:        make(map[string]*jobState),
 
-		creating: make(map[string]*rack),
-		history:  make(map[string]*estimate),
-		names:    newNumbers(),
-		share:    1,
+		creating:    make(map[string]*rack),
+		durations:   make(map[string]*durationEstimate),
+		ids:         newIDTable(),
+		workerShare: 1,
 	}
 }
 
-// now is the time as the cell counts it.
+// now returns the time of the cell's clock.
 func (o *Owner) now() time.Duration { return clock.Since(o.start) }
 
-// Run keeps the books until ctx ends.
+// Run performs the periodic work until ctx ends.
 func (o *Owner) Run(ctx context.Context) {
-	t := time.NewTicker(tickEvery)
+	t := time.NewTicker(tickInterval)
 	defer t.Stop()
 	for {
 		select {
@@ -181,120 +185,118 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.checkPause()
-	o.followTree()
+	o.applyTree()
 	o.sweep()
-	o.moveOn()
-	o.step()
+	o.checkCutOff()
+	o.schedule()
 }
 
-// checkPause makes every worker attach again if this process was paused: what
-// it knew before may be long over. The lock is held. It comes before every
-// decision.
+// checkPause makes every worker attach again if this process was paused, because its state may
+// be out of date. It is called before every decision. The lock is held.
 func (o *Owner) checkPause() {
-	if !o.guard.Tick(clock.Now()) {
+	if !o.pauseGuard.Tick(clock.Now()) {
 		return
 	}
 	level.Warn(o.Log).Log("msg", "this process was paused", "action", "attaching all workers again")
 	for _, r := range o.racks {
 		for _, w := range r.workers {
-			o.suspect(w)
+			o.reattach(w)
 		}
 	}
 	o.Lost()
 }
 
-// forget takes a task off the books.
-func (o *Owner) forget(t *task) {
+// removeTask removes a task from the cell and from the task maps.
+func (o *Owner) removeTask(t *task) {
 	if !o.cell.Cancel(t.handle) {
 		o.cell.Finish(t.handle, o.now())
 	}
-	delete(o.byRef, t.ref)
-	if o.byID[t.spec.ID] == t {
-		delete(o.byID, t.spec.ID)
+	delete(o.tasksByRef, t.ref)
+	if o.tasksByID[t.spec.ID] == t {
+		delete(o.tasksByID, t.spec.ID)
 	}
 }
 
-// followTree takes in a new version of the tree.
-func (o *Owner) followTree() {
+// applyTree applies a new version of the tree.
+func (o *Owner) applyTree() {
 	c := o.Tree.Now()
-	if c.Version == o.treeSeen {
+	if c.Version == o.treeVersion {
 		return
 	}
-	o.treeSeen = c.Version
-	o.quotas()
+	o.treeVersion = c.Version
+	o.updateQuotas()
 	for _, js := range o.jobs {
-		o.release(js)
+		o.resolveDoubt(js)
 	}
 }
 
 var _ hall.Racks = (*Owner)(nil)
 
-// numbers hands out a number for each name.
-type numbers struct {
-	known map[string]int32
+// idTable assigns a number to each name.
+type idTable struct {
+	assigned map[string]int32
 }
 
-func newNumbers() numbers { return numbers{known: make(map[string]int32)} }
+func newIDTable() idTable { return idTable{assigned: make(map[string]int32)} }
 
-func (n numbers) of(name string) int32 {
-	id, ok := n.known[name]
+func (n idTable) idFor(name string) int32 {
+	id, ok := n.assigned[name]
 	if !ok {
-		id = int32(len(n.known) + 1)
-		n.known[name] = id
+		id = int32(len(n.assigned) + 1)
+		n.assigned[name] = id
 	}
 	return id
 }
 
-// task makes the record of a task. The lock is held.
+// newTask creates a task and adds it to the task maps. The lock is held.
 func (o *Owner) newTask(w *tree.Workload, spec ports.Task) *task {
 	o.nextRef++
 	spec.Demand = w.Demand
 	spec.Workload = w.Path
 	t := &task{ref: o.nextRef, workload: w, spec: spec}
-	o.byRef[t.ref] = t
-	o.byID[spec.ID] = t
+	o.tasksByRef[t.ref] = t
+	o.tasksByID[spec.ID] = t
 	return t
 }
 
-// schedTask returns what the cell needs to know of t.
+// schedTask returns the description of t for the scheduler.
 func (o *Owner) schedTask(t *task) sched.Task {
 	s := sched.Task{
 		Ref:        t.ref,
-		Team:       sched.TeamID(o.names.of("team/" + t.workload.Team)),
+		Team:       sched.TeamID(o.ids.idFor("team/" + t.workload.Team)),
 		Class:      t.workload.Class,
 		Demand:     t.spec.Demand,
 		Rack:       sched.AnyRack,
 		Call:       t.spec.Call,
-		Estimate:   o.estimate(t.workload),
+		Estimate:   o.expectedDuration(t.workload),
 		Preemption: t.workload.Ladder,
 	}
 	if t.job != nil && t.job.rack != nil && !t.spec.Call {
 		s.Rack = t.job.rack.id
-		o.jobTimes(t.job, &s)
+		o.setJobTimes(t.job, &s)
 	}
 	if t.spec.Call || t.spec.Repeat == ports.RepeatNever {
 		s.Preemption = 0
 	}
 	if t.workload.Kind == tree.Service {
-		s.Group = o.names.of("group/" + t.workload.Path)
+		s.Group = o.ids.idFor("group/" + t.workload.Path)
 	}
 	return s
 }
 
-func (o *Owner) jobTimes(js *jobState, s *sched.Task) {
+func (o *Owner) setJobTimes(js *jobState, s *sched.Task) {
 	if js.row.NotBefore != nil {
-		s.NotBefore = js.row.NotBefore.Sub(o.wall())
+		s.NotBefore = js.row.NotBefore.Sub(o.cellStart())
 	}
 	if js.row.Deadline != nil {
-		s.Deadline = js.row.Deadline.Sub(o.wall())
+		s.Deadline = js.row.Deadline.Sub(o.cellStart())
 	}
 }
 
-// wall is the wall clock's time at which the cell's clock began.
-func (o *Owner) wall() time.Time { return clock.Wall().Add(-o.now()) }
+// cellStart returns the wall time at which the cell's clock was zero.
+func (o *Owner) cellStart() time.Time { return clock.Wall().Add(-o.now()) }
 
-// Job returns a job of an owned rack. Unless it is over, Job waits for its end
-// until ctx ends.
+// Job returns a job of an owned rack. It waits until the job is over or ctx ends.
 func (o *Owner) Job(ctx context.Context, id string) (job.Job, bool) {
 	o.mu.Lock()
 	js := o.jobs[id]
--- a/owner/racks.go
+++ b/owner/racks.go
@@ -19,17 +19,17 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	r := o.racks[name]
-	if r != nil && r.row == 0 && row != 0 {
-		o.promote(r, epoch, row)
+	if r != nil && r.rowVersion == 0 && row != 0 {
+		o.setTableEpoch(r, epoch, row)
 		return
 	}
 	if r != nil {
 		return
 	}
-	ctx, cancel := context.WithCancel(o.base)
+	ctx, cancel := context.WithCancel(o.instanceCtx)
 	r = &rack{
-		name: name, id: sched.RackID(o.names.of("rack/" + name)),
-		epoch: epoch, row: row, since: clock.Now(),
+		name: name, id: sched.RackID(o.ids.idFor("rack/" + name)),
+		epoch: epoch, rowVersion: row, ownedSince: clock.Now(),
 		workers: make(map[string]*worker), ctx: ctx, cancel: cancel,
 	}
 	o.racks[name] = r
@@ -37,27 +37,27 @@
 		o.addWorker(r, in)
 	}
 	if row != 0 {
-		go o.load(r)
+		go o.loadJobs(r)
 	}
-	o.quotas()
+	o.updateQuotas()
 }
 
-// promote puts a rack that was taken without the table under its table epoch.
-func (o *Owner) promote(r *rack, epoch lease.Epoch, row uint64) {
-	r.epoch, r.row = epoch, row
+// setTableEpoch sets the epoch from the table for a rack that was taken over without the table.
+func (o *Owner) setTableEpoch(r *rack, epoch lease.Epoch, row uint64) {
+	r.epoch, r.rowVersion = epoch, row
 	for _, w := range r.workers {
-		o.suspect(w)
+		o.reattach(w)
 	}
 	for _, js := range o.jobs {
 		if js.rack == r && js.dirty {
 			o.persist(js)
 		}
 	}
-	go o.load(r)
+	go o.loadJobs(r)
 }
 
-// Drop implements hall.Racks. Calls in progress go on to their answers; jobs
-// are the next owner's.
+// Drop implements hall.Racks. Calls in progress continue to their answers; jobs are left to the
+// next owner.
 func (o *Owner) Drop(name string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -67,9 +67,9 @@
 	}
 	delete(o.racks, name)
 	r.cancel()
-	for _, t := range o.byRef {
+	for _, t := range o.tasksByRef {
 		if t.rack == r || (t.worker != nil && t.worker.rack == r) {
-			o.abandon(t)
+			o.abandonTask(t)
 		}
 	}
 	for id, js := range o.jobs {
@@ -81,15 +81,15 @@
 	for _, w := range r.workers {
 		o.removeWorker(w)
 	}
-	o.quotas()
+	o.updateQuotas()
 }
 
-// abandon takes a task off the books of a rack that is no longer owned.
-func (o *Owner) abandon(t *task) {
-	if t.worker == nil && t.call != nil {
-		t.call.fail(kind.New(kind.Fenced, "the rack has another owner"))
+// abandonTask removes a task of a rack that is no longer owned.
+func (o *Owner) abandonTask(t *task) {
+	if t.worker == nil && t.pending != nil {
+		t.pending.fail(kind.New(kind.Fenced, "the rack has another owner"))
 	}
-	o.forget(t)
+	o.removeTask(t)
 }
 
 // Owned implements hall.Racks.
@@ -107,31 +107,31 @@
 func (o *Owner) Workers(list []ports.Instance) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.cellSize = 0
+	o.listedWorkers = 0
 	listed := make(map[string]bool)
 	for _, in := range list {
 		if in.Role != ports.RoleWorker {
 			continue
 		}
-		o.cellSize++
+		o.listedWorkers++
 		listed[in.ID] = true
 		r := o.racks[in.Rack]
 		if r == nil || in.Hall != o.Hall {
 			continue
 		}
-		o.meet(r, in)
+		o.updateWorker(r, in)
 	}
 	for _, r := range o.racks {
 		for name, w := range r.workers {
 			w.unlisted = !listed[name]
 		}
 	}
-	o.quotas()
-	o.step()
+	o.updateQuotas()
+	o.schedule()
 }
 
-// meet takes in what the list says of a worker of an owned rack.
-func (o *Owner) meet(r *rack, in ports.Instance) {
+// updateWorker applies an entry of the platform's list to a worker of an owned rack.
+func (o *Owner) updateWorker(r *rack, in ports.Instance) {
 	w := r.workers[in.ID]
 	if w == nil {
 		o.addWorker(r, in)
@@ -140,49 +140,49 @@
 	if w.addr != in.Addr {
 		w.addr = in.Addr
 		w.api = o.Connect(in.Addr)
-		o.suspect(w)
+		o.reattach(w)
 	}
-	w.listedLeaving = in.Leaving
-	o.gate(w)
+	w.reportedLeaving = in.Leaving
+	o.updateAvailability(w)
 }
 
-// Leaving tells of workers that a peer has seen leaving.
+// Leaving marks workers that a peer has seen leaving.
 func (o *Owner) Leaving(names []string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	for _, name := range names {
 		for _, r := range o.racks {
 			if w := r.workers[name]; w != nil && !w.leaving {
-				w.listedLeaving = true
-				o.gate(w)
+				w.reportedLeaving = true
+				o.updateAvailability(w)
 			}
 		}
 	}
 }
 
-// quotas gives the cell the part of each team's quota that falls to this
-// owner: its part of all workers that are listed.
-func (o *Owner) quotas() {
+// updateQuotas sets each team's quota in the cell to this owner's part of it, which is the
+// owner's part of all listed workers.
+func (o *Owner) updateQuotas() {
 	own := 0
 	for _, r := range o.racks {
 		own += len(r.workers)
 	}
-	o.share = 1
-	if o.cellSize > 0 {
-		o.share = float64(own) / float64(o.cellSize)
+	o.workerShare = 1
+	if o.listedWorkers > 0 {
+		o.workerShare = float64(own) / float64(o.listedWorkers)
 	}
 	c := o.Tree.Now()
 	o.cell.SetReserveFloor(c.Reserve)
 	for path, t := range c.Teams {
 		quota := t.Quota
 		for d := range quota {
-			quota[d] = int64(float64(quota[d]) * o.share)
+			quota[d] = int64(float64(quota[d]) * o.workerShare)
 		}
-		o.cell.SetTeam(sched.TeamID(o.names.of("team/"+path)), quota, t.Borrow)
+		o.cell.SetTeam(sched.TeamID(o.ids.idFor("team/"+path)), quota, t.Borrow)
 	}
 }
 
-// Summary returns what peers are told of the racks.
+// Summary returns the state of the racks as sent to peers.
 func (o *Owner) Summary() []*wire.Rack {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -193,8 +193,9 @@
 	return out
 }
 
-// waitStep keeps a wait that changes a little from being news to peers.
-const waitStep = 500 * time.Millisecond
+// waitRounding is the unit to which the predicted wait is rounded, so that small changes are
+// not sent to peers.
+const waitRounding = 500 * time.Millisecond
 
 func (o *Owner) summary(r *rack) *wire.Rack {
 	free, hole := o.cell.RackRoom(r.id)
@@ -202,7 +203,7 @@
 		Rack: r.name, EpochTable: r.epoch.Table, EpochLocal: r.epoch.Local,
 		Free: free[:], Hole: hole[:], Workers: uint32(len(r.workers)),
 		Queued: uint32(o.cell.Queued()),
-		WaitMs: uint32(o.cell.PredictedWait(sched.Bulk, o.now()).Round(waitStep).Milliseconds()),
+		WaitMs: uint32(o.cell.PredictedWait(sched.Bulk, o.now()).Round(waitRounding).Milliseconds()),
 	}
 	var capacity sched.Vec
 	for _, w := range r.workers {
@@ -217,14 +218,15 @@
 	return s
 }
 
-// SeenLeaving returns the workers that have said themselves that they leave.
+// SeenLeaving returns the workers that are leaving, by their own report or by that of the
+// platform or a peer.
 func (o *Owner) SeenLeaving() []string {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	var out []string
 	for _, r := range o.racks {
 		for name, w := range r.workers {
-			if w.leaving || w.listedLeaving {
+			if w.leaving || w.reportedLeaving {
 				out = append(out, name)
 			}
 		}
@@ -232,7 +234,7 @@
 	return out
 }
 
-// Ready reports whether every owned rack has an attached worker.
+// Ready reports whether every owned rack that has workers has an attached one.
 func (o *Owner) Ready() bool {
 	for _, s := range o.Summary() {
 		if s.Attached == 0 && s.Workers > 0 {
--- a/owner/report.go
+++ b/owner/report.go
@@ -14,15 +14,15 @@
 	"dewpass.org/tree"
 )
 
-// running notes that a worker runs a job.
-func (o *Owner) running(t *task) {
+// markRunning records that a worker runs a job.
+func (o *Owner) markRunning(t *task) {
 	js := t.job
 	if js == nil || js.row.State == job.Running || js.row.State.Over() {
 		return
 	}
 	fault.At(fault.Running)
 	now := clock.Wall().UTC()
-	o.change(js, job.Running, func(j *job.Job) {
+	o.setState(js, job.Running, func(j *job.Job) {
 		j.Attempt = t.spec.Attempt
 		j.Worker = t.worker.name
 		j.Incarnation = t.worker.incarnation
@@ -32,11 +32,11 @@
 	})
 }
 
-// change puts a job into another state and has its row written.
-func (o *Owner) change(js *jobState, s job.State, f func(*job.Job)) bool {
+// setState changes the state of a job and writes its row.
+func (o *Owner) setState(js *jobState, s job.State, f func(*job.Job)) bool {
 	row, err := js.row.Next(s)
 	if err != nil {
-		level.Warn(o.Log).Log("msg", "state of job not changed", "job", js.row.ID, "err", err)
+		level.Warn(o.Log).Log("msg", "invalid job state transition", "job", js.row.ID, "err", err)
 		return false
 	}
 	f(&row)
@@ -45,70 +45,70 @@
 	return true
 }
 
-// settle ends a job in a final state, or in Unknown.
-func (o *Owner) settle(js *jobState, s job.State, f func(*job.Job)) {
+// endJob puts a job into a final state, or into Unknown.
+func (o *Owner) endJob(js *jobState, s job.State, f func(*job.Job)) {
 	if js == nil || js.row.State.Over() || js.row.State == s {
 		return
 	}
 	now := clock.Wall().UTC()
 	t := js.task
-	if !o.change(js, s, func(j *job.Job) {
+	if !o.setState(js, s, func(j *job.Job) {
 		f(j)
 		j.Finished = &now
 		if s.Over() {
-			expires := now.Add(o.keep(j.Workload))
+			expires := now.Add(o.retention(j.Workload))
 			j.Expires = &expires
 		}
 	}) {
 		return
 	}
 	js.finish(nil)
-	js.limbo = false
+	js.inDoubt = false
 	if t != nil && t.worker != nil && s != job.Unknown {
 		js.acks = append(js.acks, ack{worker: t.worker.api, id: t.spec.ID, attempt: t.spec.Attempt})
 	}
 }
 
-// keep is how long a job of a workload is kept after its end.
-func (o *Owner) keep(workload string) time.Duration {
+// retention returns how long a job of a workload is kept after its end.
+func (o *Owner) retention(workload string) time.Duration {
 	if w := o.Tree.Now().Workloads[workload]; w != nil {
 		return w.Keep
 	}
 	return tree.DefaultKeep
 }
 
-// neverRan puts a task back that its worker does not have and never will. The
+// handleNotRun requeues or ends a task that its worker does not have and will never have. The
 // lock is held.
-func (o *Owner) neverRan(t *task) {
+func (o *Owner) handleNotRun(t *task) {
 	switch {
 	case t.job == nil:
-		o.forget(t)
+		o.removeTask(t)
 	case t.spec.Call:
-		o.settle(t.job, job.Refused, func(j *job.Job) { j.Why = "the worker never had it" })
-		o.drop(t)
+		o.endJob(t.job, job.Refused, func(j *job.Job) { j.Why = "the worker never had it" })
+		o.removeJobTask(t)
 	default:
-		o.again(t)
+		o.retryJob(t)
 	}
 }
 
-// again makes a job wait for another start.
-func (o *Owner) again(t *task) {
+// retryJob queues a job for its next attempt.
+func (o *Owner) retryJob(t *task) {
 	js := t.job
 	if js.cancelling {
-		o.settle(js, job.Cancelled, func(*job.Job) {})
-		o.drop(t)
+		o.endJob(js, job.Cancelled, func(*job.Job) {})
+		o.removeJobTask(t)
 		return
 	}
 	if js.row.State != job.Queued {
-		o.change(js, job.Queued, func(j *job.Job) {
+		o.setState(js, job.Queued, func(j *job.Job) {
 			j.Attempt = max(j.Attempt, t.spec.Attempt)
 			j.Worker, j.Incarnation = "", ""
 		})
 	}
 	js.row.Attempt = max(js.row.Attempt, t.spec.Attempt)
-	o.drop(t)
-	if o.away && o.movable(js) {
-		js.unread = true
+	o.removeJobTask(t)
+	if o.cutOff && o.movableWhenCutOff(js) {
+		js.mustReread = true
 		return
 	}
 	if js.row.State == job.Queued {
@@ -116,78 +116,79 @@
 	}
 }
 
-// requeue makes a task wait again that was placed but not sent.
+// requeue queues a task again that was placed but not sent.
 func (o *Owner) requeue(t *task) {
-	if o.byRef[t.ref] != t {
+	if o.tasksByRef[t.ref] != t {
 		return
 	}
 	o.cell.Requeue(t.handle, o.now())
 	t.worker = nil
 }
 
-// drop takes the task of a job off the books.
-func (o *Owner) drop(t *task) {
-	o.forget(t)
+// removeJobTask removes the task of a job.
+func (o *Owner) removeJobTask(t *task) {
+	o.removeTask(t)
 	if t.job != nil && t.job.task == t {
 		t.job.task = nil
 	}
 }
 
-// lose settles a task whose worker is surely not running it any more, but may
-// have. The lock is held.
-func (o *Owner) lose(t *task, why string) {
+// handleLostTask requeues or ends a task that has certainly stopped on its worker, but may have
+// run there. The lock is held.
+func (o *Owner) handleLostTask(t *task, why string) {
 	js := t.job
 	switch {
 	case js == nil || js.row.State.Over():
-		o.forget(t)
+		o.removeTask(t)
 	case !t.sent:
-		o.neverRan(t)
+		o.handleNotRun(t)
 	case t.spec.Repeat == ports.RepeatNever:
-		o.settle(js, job.Unknown, func(j *job.Job) { j.Why = why })
-		o.drop(t)
+		o.endJob(js, job.Unknown, func(j *job.Job) { j.Why = why })
+		o.removeJobTask(t)
 	default:
-		o.again(t)
+		o.retryJob(t)
 	}
 }
 
-// report takes in what a worker says of a task. The lock is held.
-func (o *Owner) report(w *worker, rep ports.TaskReport) {
-	t := o.byID[rep.Task.ID]
+// applyReport applies a worker's report on a task. The lock is held.
+func (o *Owner) applyReport(w *worker, rep ports.TaskReport) {
+	t := o.tasksByID[rep.Task.ID]
 	if t == nil || t.spec.Attempt != rep.Task.Attempt {
-		t = o.orphan(w, rep)
+		t = o.adoptReported(w, rep)
 	}
 	if t == nil || t.worker != w {
 		return
 	}
 	if !rep.State.Over() {
-		o.progress(t, rep)
+		o.applyProgress(t, rep)
 		return
 	}
 	t.stopped = true
 	if t.job != nil {
-		o.over(t, rep)
+		o.applyEnd(t, rep)
 		return
 	}
 	if !t.callerWaits {
-		o.forget(t)
+		o.removeTask(t)
 		go o.acknowledge(ack{worker: w.api, id: rep.Task.ID, attempt: rep.Task.Attempt})
 	}
 }
 
-// orphan takes in a task that the books do not have: one of an owner before.
-func (o *Owner) orphan(w *worker, rep ports.TaskReport) *task {
+// adoptReported handles a report on a task or attempt that is not known here, for example one
+// that an earlier owner started. It returns the task if it is adopted.
+func (o *Owner) adoptReported(w *worker, rep ports.TaskReport) *task {
 	js := o.jobs[rep.Task.ID]
 	switch {
 	case js == nil && rep.State.Over() && !w.rack.loaded && hasRow(rep.Task):
 		// Its row will tell what to do with it.
-		w.rack.ignored = true
+		w.rack.ignoredReports = true
 		return nil
-	case rep.State.Over() && (js == nil || o.stale(js, rep)):
+	case rep.State.Over() && (js == nil || o.staleReport(js, rep)):
 		go o.acknowledge(ack{worker: w.api, id: rep.Task.ID, attempt: rep.Task.Attempt})
 		return nil
 	}
 	if js != nil && js.task != nil {
-		o.drop(js.task)
+		o.removeJobTask(js.task)
 	}
 	return o.adoptTask(w, rep, js)
 }
@@ -195,9 +196,9 @@
 // hasRow reports whether a task has a row in the table.
 func hasRow(t ports.Task) bool { return !t.Call || t.Repeat == ports.RepeatNever }
 
-// stale reports whether the end of an attempt is of no more interest: the job
-// is over, or a later attempt runs, or waits and this one brings no answer.
-func (o *Owner) stale(js *jobState, rep ports.TaskReport) bool {
+// staleReport reports whether the end of an attempt no longer matters: the job is over, a later
+// attempt has been placed, or a later attempt waits and this one has no answer.
+func (o *Owner) staleReport(js *jobState, rep ports.TaskReport) bool {
 	switch {
 	case js.row.State.Over():
 		return true
@@ -230,21 +231,21 @@
 		o.cell.RecordThrottled(t.handle)
 	}
 	if js != nil {
-		js.task, js.limbo = t, false
-		o.running(t)
+		js.task, js.inDoubt = t, false
+		o.markRunning(t)
 	}
 	return t
 }
 
-// progress takes in news of a running task.
-func (o *Owner) progress(t *task, rep ports.TaskReport) {
+// applyProgress applies a report on a running task.
+func (o *Owner) applyProgress(t *task, rep ports.TaskReport) {
 	js := t.job
 	if js == nil {
 		return
 	}
-	js.limbo = false
+	js.inDoubt = false
 	if js.row.State != job.Running && !t.spec.Call {
-		o.running(t)
+		o.markRunning(t)
 	}
 	if rep.Checkpoint != "" && rep.Checkpoint != js.row.Checkpoint {
 		fault.At(fault.Checkpointed)
@@ -254,8 +255,8 @@
 	}
 }
 
-// over takes in the end of a task with a row.
-func (o *Owner) over(t *task, rep ports.TaskReport) {
+// applyEnd applies the end of a task with a row.
+func (o *Owner) applyEnd(t *task, rep ports.TaskReport) {
 	js := t.job
 	if rep.Checkpoint != "" {
 		js.row.Checkpoint = rep.Checkpoint
@@ -263,51 +264,51 @@
 	switch {
 	case rep.State == ports.TaskFinished:
 		fault.At(fault.Finished)
-		o.finished(t, rep)
+		o.applyFinished(t, rep)
 	case js.cancelling:
-		o.settle(js, job.Cancelled, func(*job.Job) {})
-		o.drop(t)
+		o.endJob(js, job.Cancelled, func(*job.Job) {})
+		o.removeJobTask(t)
 	case rep.State == ports.TaskFailed:
-		o.failed(t)
+		o.applyFailed(t)
 	case t.spec.Repeat == ports.RepeatNever:
-		o.settle(js, job.Failed, func(j *job.Job) { j.Why = "the worker ended it: " + string(rep.State) })
-		o.drop(t)
+		o.endJob(js, job.Failed, func(j *job.Job) { j.Why = "the worker ended it: " + string(rep.State) })
+		o.removeJobTask(t)
 	default:
 		js.acks = append(js.acks, ack{worker: t.worker.api, id: t.spec.ID, attempt: t.spec.Attempt})
 		js.row.Yields++
-		o.again(t)
+		o.retryJob(t)
 	}
 }
 
-// finished takes in a job's answer, if it is whole.
-func (o *Owner) finished(t *task, rep ports.TaskReport) {
+// applyFinished stores a job's answer if it is complete.
+func (o *Owner) applyFinished(t *task, rep ports.TaskReport) {
 	if err := rep.Answer.Whole(t.spec.ID, t.spec.Attempt); err != nil {
-		// The worker keeps it; attaching again brings it once more.
-		level.Warn(o.Log).Log("msg", "answer not whole", "job", t.spec.ID, "err", err)
-		o.suspect(t.worker)
+		// The worker keeps the answer, and reports it again at the next attach.
+		level.Warn(o.Log).Log("msg", "incomplete answer from worker, attaching it again", "job", t.spec.ID, "err", err)
+		o.reattach(t.worker)
 		return
 	}
 	js := t.job
-	o.learn(t.workload, time.Duration(rep.RanMS)*time.Millisecond)
+	o.recordDuration(t.workload, time.Duration(rep.RanMS)*time.Millisecond)
 	if js.row.Service {
 		js.acks = append(js.acks, ack{worker: t.worker.api, id: t.spec.ID, attempt: t.spec.Attempt})
-		o.again(t)
+		o.retryJob(t)
 		return
 	}
-	o.settle(js, job.Done, func(j *job.Job) { j.Answer = rep.Answer })
+	o.endJob(js, job.Done, func(j *job.Job) { j.Answer = rep.Answer })
 	if !t.callerWaits {
-		o.drop(t)
+		o.removeJobTask(t)
 	}
 }
 
-func (o *Owner) failed(t *task) {
+func (o *Owner) applyFailed(t *task) {
 	js := t.job
 	js.row.Failures++
 	if t.spec.Repeat == ports.RepeatNever || js.row.Failures > t.workload.Retries && !js.row.Service {
-		o.settle(js, job.Failed, func(j *job.Job) { j.Why = "the task failed" })
-		o.drop(t)
+		o.endJob(js, job.Failed, func(j *job.Job) { j.Why = "the task failed" })
+		o.removeJobTask(t)
 		return
 	}
 	js.acks = append(js.acks, ack{worker: t.worker.api, id: t.spec.ID, attempt: t.spec.Attempt})
-	o.again(t)
+	o.retryJob(t)
 }
--- a/owner/save.go
+++ b/owner/save.go
@@ -25,15 +25,16 @@
 	attempt uint32
 }
 
-// checks are the conditions under which an owner may write a job's row.
-func (o *Owner) checks(js *jobState) []ports.Check {
+// rowChecks returns the conditions for writing a job's row: this owner still has the rack, and
+// the row is unchanged.
+func (o *Owner) rowChecks(js *jobState) []ports.Check {
 	return []ports.Check{
-		{Key: hall.RackKey(o.Hall, js.rack.name), Version: js.rack.row},
+		{Key: hall.RackKey(o.Hall, js.rack.name), Version: js.rack.rowVersion},
 		{Key: job.RowKey(js.row.ID), Version: js.version},
 	}
 }
 
-func puts(row job.Job) []ports.Put {
+func rowPuts(row job.Job) []ports.Put {
 	out := []ports.Put{{Key: job.RowKey(row.ID), Value: job.Encode(row)}}
 	index := ports.Put{Key: job.IndexKey(row.Rack, row.ID)}
 	if !row.State.Over() {
@@ -44,8 +45,8 @@
 	return append(out, index, job.ExpiryOf(row).Put())
 }
 
-// keyed adds the row of the request key to a new job's change.
-func keyed(c commit.Change, row job.Job, digest string) commit.Change {
+// withKeyRow adds the row of the request key to the change that creates a job.
+func withKeyRow(c commit.Change, row job.Job, digest string) commit.Change {
 	if row.Key == "" {
 		return c
 	}
@@ -56,12 +57,12 @@
 	return c
 }
 
-// create writes a new job's rows.
-func (o *Owner) create(ctx context.Context, js *jobState) error {
-	ctx, cancel := context.WithTimeout(ctx, submitTime)
+// createRows writes the rows of a new job.
+func (o *Owner) createRows(ctx context.Context, js *jobState) error {
+	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
 	digest := job.RequestDigest(js.row.Workload, js.row.Payload)
-	change := keyed(commit.Change{Checks: o.checks(js), Puts: puts(js.row)}, js.row, digest)
+	change := withKeyRow(commit.Change{Checks: o.rowChecks(js), Puts: rowPuts(js.row)}, js.row, digest)
 	if err := o.beginCreating(js); err != nil {
 		return err
 	}
@@ -79,8 +80,8 @@
 	return nil
 }
 
-// beginCreating notes that the rows of a job are being written, unless its rack
-// is about to be handed over.
+// beginCreating records that the rows of a job are being written. It fails if the rack is being
+// handed over.
 func (o *Owner) beginCreating(js *jobState) error {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -97,16 +98,16 @@
 	delete(o.creating, id)
 }
 
-// recoverCreate finds out what became of the rows of a new job whose
-// transaction has an unknown fate. Its caller was told so, and it was sent
-// nowhere: a job that is there goes on, a call that is there is refused, and
-// what is not there is written down as refused, so that the question for its
-// id has an answer.
+// recoverCreate determines the result of a transaction that creates a job and whose result is
+// unknown. The caller has been told that the result is unknown, and nothing was sent. If the
+// row of a job exists, the job is queued. If the row of a call exists, the call is refused. If
+// there is no row, one is written with the state Refused, so that a query for the ID has an
+// answer.
 func (o *Owner) recoverCreate(js *jobState) {
 	defer o.endCreating(js.row.ID)
 	ctx := js.rack.ctx
-	// The journal writes one transaction after another: when this empty one is
-	// through, the fate of those before it is settled.
+	// The journal commits transactions in order: when this empty one has been committed, all
+	// earlier ones have ended.
 	if _, err := o.Journal.Commit(ctx, commit.Change{}); err != nil {
 		return
 	}
@@ -124,14 +125,14 @@
 	o.jobs[js.row.ID] = js
 	if row.Version > 0 && !js.row.Call {
 		o.enqueue(js)
-		o.step()
+		o.schedule()
 		return
 	}
 	js.row.State = job.Dispatched
-	o.settle(js, job.Refused, func(j *job.Job) { j.Why = "the table did not answer in time" })
+	o.endJob(js, job.Refused, func(j *job.Job) { j.Why = "the table did not answer in time" })
 }
 
-// readRow reads a row again and again until the table answers.
+// readRow reads a row, with retries until the table answers or ctx ends.
 func (o *Owner) readRow(ctx context.Context, key string) (ports.Row, error) {
 	for {
 		rows, err := o.Table.Get(ctx, key)
@@ -139,7 +140,7 @@
 			return rows[0], nil
 		}
 		select {
-		case <-time.After(attachMost):
+		case <-time.After(maxBackoff):
 		case <-ctx.Done():
 			return ports.Row{}, ctx.Err()
 		}
@@ -156,8 +157,7 @@
 	return err
 }
 
-// writeIntent writes the row of a call that must not be repeated before it is
-// sent.
+// writeIntent writes the row of a call that must not be repeated, before the call is sent.
 func (o *Owner) writeIntent(ctx context.Context, t *task, req *wire.Call) error {
 	o.mu.Lock()
 	r := t.rack
@@ -169,29 +169,29 @@
 	}
 	js := newJobState(row, 0, r)
 	js.task = t
-	cutOff := r.row == 0
+	withoutTable := r.rowVersion == 0
 	o.mu.Unlock()
-	if cutOff {
+	if withoutTable {
 		return kind.New(kind.CutOff, "the rack was taken without the table").After(retry.Least)
 	}
-	ctx, cancel := context.WithTimeout(ctx, intentTime)
+	ctx, cancel := context.WithTimeout(ctx, intentTimeout)
 	defer cancel()
-	if err := o.create(ctx, js); err != nil {
+	if err := o.createRows(ctx, js); err != nil {
 		return err
 	}
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	delete(o.creating, req.Id)
 	if o.racks[r.name] != r {
-		return kind.New(kind.Lost, "the rack changed hands").Uncertain(req.Id)
+		return kind.New(kind.Lost, "another owner took the rack while the call was being recorded").Uncertain(req.Id)
 	}
 	t.job = js
 	o.jobs[row.ID] = js
 	return nil
 }
 
-// writeDispatch writes down where a job that must not be repeated is sent,
-// before it is. It reports false when the job was not dispatched.
+// writeDispatch writes to the row where a job that must not be repeated is about to be sent. It
+// returns false if the job must not be sent.
 func (o *Owner) writeDispatch(ctx context.Context, t *task) bool {
 	o.mu.Lock()
 	js := t.job
@@ -202,50 +202,50 @@
 	}
 	row, err := js.row.Next(job.Dispatched)
 	if err != nil {
-		o.forget(t)
+		o.removeTask(t)
 		o.mu.Unlock()
 		return false
 	}
 	row.Worker, row.Incarnation, row.Attempt = t.worker.name, t.worker.incarnation, t.spec.Attempt
 	js.saving = true
-	checks := o.checks(js)
+	checks := o.rowChecks(js)
 	o.mu.Unlock()
-	ctx, cancel := context.WithTimeout(ctx, submitTime)
+	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
-	version, err := o.Journal.Commit(ctx, commit.Change{Checks: checks, Puts: puts(row)})
+	version, err := o.Journal.Commit(ctx, commit.Change{Checks: checks, Puts: rowPuts(row)})
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	js.saving = false
 	if err != nil {
-		o.conflict(js, err)
+		o.handleConflict(js, err)
 		o.requeue(t)
 		return false
 	}
 	js.row, js.version = row, version
-	return o.byRef[t.ref] == t
+	return o.tasksByRef[t.ref] == t
 }
 
-// persist has the row of a job written. The lock is held.
+// persist marks the row of a job as out of date and starts to write it. The lock is held.
 func (o *Owner) persist(js *jobState) {
 	js.dirty = true
-	if js.saving || js.rack.row == 0 {
+	if js.saving || js.rack.rowVersion == 0 {
 		return
 	}
 	js.saving = true
 	go o.save(js)
 }
 
-// save writes the row of a job until the table has its latest state.
+// save writes the row of a job until the table has the latest state.
 func (o *Owner) save(js *jobState) {
 	for {
 		o.mu.Lock()
-		if !js.dirty || js.rack.ctx.Err() != nil || js.rack.row == 0 {
+		if !js.dirty || js.rack.ctx.Err() != nil || js.rack.rowVersion == 0 {
 			js.saving = false
 			o.mu.Unlock()
 			return
 		}
 		js.dirty = false
-		row, checks, acks := js.row, o.checks(js), js.acks
+		row, checks, acks := js.row, o.rowChecks(js), js.acks
 		js.acks = nil
 		ctx := js.rack.ctx
 		o.mu.Unlock()
@@ -254,13 +254,13 @@
 }
 
 func (o *Owner) saveOnce(ctx context.Context, js *jobState, row job.Job, checks []ports.Check, acks []ack) {
-	row, err := o.outsource(ctx, row)
+	row, err := o.storeLargeAnswer(ctx, row)
 	var version uint64
 	if err == nil {
-		version, err = o.Journal.Commit(ctx, commit.Change{Checks: checks, Puts: puts(row)})
+		version, err = o.Journal.Commit(ctx, commit.Change{Checks: checks, Puts: rowPuts(row)})
 	}
 	if err != nil {
-		o.saveFailed(ctx, js, acks, err)
+		o.handleSaveError(ctx, js, acks, err)
 		return
 	}
 	o.mu.Lock()
@@ -274,21 +274,22 @@
 	}
 }
 
-func (o *Owner) saveFailed(ctx context.Context, js *jobState, acks []ack, err error) {
+func (o *Owner) handleSaveError(ctx context.Context, js *jobState, acks []ack, err error) {
 	o.mu.Lock()
 	js.dirty = true
 	js.acks = append(acks, js.acks...)
-	o.conflict(js, err)
+	o.handleConflict(js, err)
 	o.mu.Unlock()
 	select {
-	case <-time.After(attachMost):
+	case <-time.After(maxBackoff):
 	case <-ctx.Done():
 	}
 }
 
-// conflict learns from a conflict: the version of the job's row when only that
-// changed, or that the rack may be another's. The lock is held.
-func (o *Owner) conflict(js *jobState, err error) {
+// handleConflict handles a conflict in writing a job's row: if only that row has changed, it
+// adopts the row's version or drops a job that was moved; otherwise another owner may have the
+// rack. The lock is held.
+func (o *Owner) handleConflict(js *jobState, err error) {
 	var c *commit.Conflict
 	if !errors.As(err, &c) {
 		return
@@ -299,16 +300,16 @@
 			continue
 		}
 		if j, err := job.Decode(r.Value); err == nil && r.Version > 0 && j.Rack != js.rack.name {
-			o.moved(js)
+			o.dropMovedJob(js)
 			return
 		}
 		js.version = r.Version
 	}
 }
 
-// outsource puts a large answer into the object store.
-func (o *Owner) outsource(ctx context.Context, row job.Job) (job.Job, error) {
-	if row.Answer == nil || len(row.Answer.Body) <= maxInline || row.AnswerObject != "" {
+// storeLargeAnswer moves a large answer from the row to the object store.
+func (o *Owner) storeLargeAnswer(ctx context.Context, row job.Job) (job.Job, error) {
+	if row.Answer == nil || len(row.Answer.Body) <= maxInlineAnswer || row.AnswerObject != "" {
 		return row, nil
 	}
 	key := "answer/" + row.ID
@@ -322,9 +323,9 @@
 }
 
 func (o *Owner) acknowledge(a ack) {
-	ctx, cancel := context.WithTimeout(o.base, submitTime)
+	ctx, cancel := context.WithTimeout(o.instanceCtx, writeTimeout)
 	defer cancel()
 	if err := a.worker.Ack(ctx, a.id, a.attempt); err != nil {
-		level.Debug(o.Log).Log("msg", "not acknowledged", "task", a.id, "err", err)
+		level.Debug(o.Log).Log("msg", "acknowledging an attempt to its worker failed", "task", a.id, "err", err)
 	}
 }
--- a/owner/step.go
+++ b/owner/step.go
@@ -11,74 +11,73 @@
 	"dewpass.org/sched"
 )
 
-// step carries out what the cell decides. The lock is held.
-func (o *Owner) step() {
+// schedule runs a step of the cell and executes its decisions. The lock is held.
+func (o *Owner) schedule() {
 	if o.draining {
 		return
 	}
 	now := o.now()
-	o.out = o.cell.Step(now, o.out[:0])
-	o.out = o.cell.ResumeThrottled(now, o.out)
-	for _, d := range o.out {
-		t := o.byRef[d.Ref]
+	o.decisions = o.cell.Step(now, o.decisions[:0])
+	o.decisions = o.cell.ResumeThrottled(now, o.decisions)
+	for _, d := range o.decisions {
+		t := o.tasksByRef[d.Ref]
 		if t == nil {
 			continue
 		}
-		o.carryOut(t, d)
+		o.execute(t, d)
 	}
 }
 
-func (o *Owner) carryOut(t *task, d sched.Decision) {
+func (o *Owner) execute(t *task, d sched.Decision) {
 	switch d.Op {
 	case sched.OpStart:
-		o.book(t, d.Task, d.Worker)
-		if t.call != nil {
-			t.call.settle(nil)
+		o.recordPlacement(t, d.Task, d.Worker)
+		if t.pending != nil {
+			t.pending.complete(nil)
 			return
 		}
 		go o.startJob(t)
 	case sched.OpExpire:
-		t.call.fail(kind.New(kind.Deadline, "no room before the deadline").After(o.retryAfter(t)))
-		o.forget(t)
+		t.pending.fail(kind.New(kind.Deadline, "no worker had room before the deadline").After(o.retryAfter(t)))
+		o.removeTask(t)
 	case sched.OpThrottle:
-		go o.act(t, t.worker, ports.ActThrottle)
+		go o.sendAction(t, t.worker, ports.ActThrottle)
 	case sched.OpResume:
-		go o.act(t, t.worker, ports.ActResume)
+		go o.sendAction(t, t.worker, ports.ActResume)
 	case sched.OpCheckpoint:
-		go o.act(t, t.worker, ports.ActCheckpoint)
+		go o.sendAction(t, t.worker, ports.ActCheckpoint)
 	case sched.OpStop:
-		go o.act(t, t.worker, ports.ActStop)
+		go o.sendAction(t, t.worker, ports.ActStop)
 	}
 }
 
-// Drain stops new work; what runs goes on. It is the first act of a planned
-// stop.
+// Drain stops new work; running tasks continue. It is the first action of a planned shutdown.
 func (o *Owner) Drain() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.draining = true
-	for _, t := range o.byRef {
-		if t.worker == nil && t.call != nil {
-			t.call.fail(kind.New(kind.Stopping, ""))
-			o.forget(t)
+	for _, t := range o.tasksByRef {
+		if t.worker == nil && t.pending != nil {
+			t.pending.fail(kind.New(kind.Stopping, ""))
+			o.removeTask(t)
 		}
 	}
 }
 
-// Flush waits until every row that is behind was written, or ctx ends.
+// Flush waits until every outdated row has been written, or ctx ends.
 func (o *Owner) Flush(ctx context.Context) {
 	for ctx.Err() == nil {
-		if o.behind() == 0 {
+		if o.unsavedJobs() == 0 {
 			return
 		}
 		select {
-		case <-time.After(tickEvery):
+		case <-time.After(tickInterval):
 		case <-ctx.Done():
 		}
 	}
 }
 
-func (o *Owner) behind() int {
+func (o *Owner) unsavedJobs() int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	n := 0
--- a/owner/sweep.go
+++ b/owner/sweep.go
@@ -11,66 +11,66 @@
 	"dewpass.org/sched"
 )
 
-// rescanEvery is how often the index of a rack is read for jobs that were moved
-// to it without this owner hearing of it.
-const rescanEvery = 30 * time.Second
+// rescanInterval is how often the index of a rack is read again for jobs that were moved there
+// while the notification of this owner was lost.
+const rescanInterval = 30 * time.Second
 
-// sweep settles the tasks of workers whose leases are surely over, and moves
+// sweep requeues or ends the tasks of workers whose leases have certainly expired, and moves
 // tasks off workers that leave. The lock is held.
 func (o *Owner) sweep() {
 	now := clock.Now()
 	for _, r := range o.racks {
-		o.witness(r, now)
-		o.lookAgain(r, now)
+		o.checkMajority(r, now)
+		o.checkRack(r, now)
 		for _, w := range r.workers {
 			o.sweepWorker(w, now)
-			o.retire(w)
+			o.removeUnlisted(w)
 		}
 	}
 }
 
-// lookAgain releases jobs whose limbo ends by the passage of time, and reads the
-// index of the rack for jobs that were moved to it.
-func (o *Owner) lookAgain(r *rack, now time.Time) {
-	if now.Sub(r.looked) < time.Second {
+// checkRack does the periodic work for a rack: it resolves doubts that end with time, moves
+// waiting jobs to racks with room, and reads the index again.
+func (o *Owner) checkRack(r *rack, now time.Time) {
+	if now.Sub(r.checkedAt) < time.Second {
 		return
 	}
-	r.looked = now
-	o.releaseAll(r)
+	r.checkedAt = now
+	o.resolveDoubts(r)
 	o.overflow(r)
-	if r.loaded && r.row != 0 && now.Sub(r.scanned) > rescanEvery {
-		r.scanned = now
-		go o.load(r)
+	if r.loaded && r.rowVersion != 0 && now.Sub(r.scannedAt) > rescanInterval {
+		r.scannedAt = now
+		go o.loadJobs(r)
 	}
 }
 
 func (o *Owner) sweepWorker(w *worker, now time.Time) {
-	if w.attached && (w.leaving || w.listedLeaving) {
-		o.vacate(w)
+	if w.attached && (w.leaving || w.reportedLeaving) {
+		o.evacuate(w)
 	}
-	if w.attached || w.over || now.Before(lease.SurelyOver(w.renewed, o.TaskLease)) {
+	if w.attached || w.leasesExpired || now.Before(lease.SurelyOver(w.renewedAt, o.TaskLease)) {
 		return
 	}
-	w.over = true
+	w.leasesExpired = true
 	for _, t := range o.tasksOn(w) {
-		o.lose(t, "the worker cannot be reached")
+		o.handleLostTask(t, "the worker cannot be reached")
 	}
-	o.releaseAll(w.rack)
+	o.resolveDoubts(w.rack)
 }
 
-// retire forgets a worker that the platform lists no more, once it does not
-// answer and its leases are surely over. The list alone is only a hint.
-func (o *Owner) retire(w *worker) {
-	if !w.unlisted || w.attached || !w.over {
+// removeUnlisted removes a worker that the platform no longer lists, once the worker is not
+// attached and its leases have certainly expired. The list alone is only a hint.
+func (o *Owner) removeUnlisted(w *worker) {
+	if !w.unlisted || w.attached || !w.leasesExpired {
 		return
 	}
 	o.removeWorker(w)
 	delete(w.rack.workers, w.name)
 }
 
-// vacate asks the jobs on a worker that leaves to save themselves and stop;
-// calls finish there.
-func (o *Owner) vacate(w *worker) {
+// evacuate asks a leaving worker to checkpoint or stop its services and the jobs that may be
+// preempted. Everything else finishes there.
+func (o *Owner) evacuate(w *worker) {
 	for _, t := range o.tasksOn(w) {
 		if t.spec.Call || t.job == nil || t.stopped || t.spec.Repeat == ports.RepeatNever {
 			continue
@@ -79,11 +79,11 @@
 			continue
 		}
 		t.stopped = true
-		go o.act(t, w, o.exitAction(t))
+		go o.sendAction(t, w, o.stopAction(t))
 	}
 }
 
-func (o *Owner) exitAction(t *task) ports.Action {
+func (o *Owner) stopAction(t *task) ports.Action {
 	if t.workload.Ladder&sched.MayCheckpoint != 0 {
 		return ports.ActCheckpoint
 	}
--- a/owner/witness.go
+++ b/owner/witness.go
@@ -8,46 +8,45 @@
 	"dewpass.org/lease"
 )
 
-// witness holds the workers of a rack to be witnesses of who owns it. An owner
-// that the table does not see goes on only while more than half of the workers
-// take its commands; otherwise another owner may have them, and this one stops
-// renewing leases with the rest. An owner that has had more than half of them
-// for long enough may therefore believe that the rest have stopped. The lock is
+// checkMajority tracks whether more than half of the workers of a rack are attached. An owner
+// that is cut off from the table continues only while it has this majority. Otherwise another
+// owner may have it, and this one stops renewing leases. Therefore an owner that has had the
+// majority for long enough knows that the tasks of the other workers have stopped. The lock is
 // held.
-func (o *Owner) witness(r *rack, now time.Time) {
+func (o *Owner) checkMajority(r *rack, now time.Time) {
 	attached := 0
 	for _, w := range r.workers {
 		if w.attached {
 			attached++
 		}
 	}
-	most := 2*attached > len(r.workers)
-	if !most {
-		r.mostSince = time.Time{}
-	} else if r.mostSince.IsZero() {
-		r.mostSince = now
+	majority := 2*attached > len(r.workers)
+	if !majority {
+		r.majoritySince = time.Time{}
+	} else if r.majoritySince.IsZero() {
+		r.majoritySince = now
 	}
-	idle := o.away && !most && len(r.workers) > 1
+	lostMajority := o.cutOff && !majority && len(r.workers) > 1
 	for _, w := range r.workers {
-		rest := idle && now.Sub(r.since) > o.TaskLease
-		if rest == w.idle {
+		pause := lostMajority && now.Sub(r.ownedSince) > o.TaskLease
+		if pause == w.renewalPaused {
 			continue
 		}
-		w.idle = rest
-		o.gate(w)
-		if rest && w.again != nil {
-			w.again()
+		w.renewalPaused = pause
+		o.updateAvailability(w)
+		if pause && w.cancelWatch != nil {
+			w.cancelWatch()
 		}
 	}
 }
 
-// othersStopped reports whether the workers of a rack that are not attached
-// have surely stopped what a former owner gave them.
-func (o *Owner) othersStopped(r *rack, now time.Time) bool {
-	if r.mostSince.IsZero() {
+// detachedStopped reports whether the workers of a rack that are not attached have certainly
+// stopped what an earlier owner started there.
+func (o *Owner) detachedStopped(r *rack, now time.Time) bool {
+	if r.majoritySince.IsZero() {
 		return false
 	}
-	// A former owner believes in a worker for as long as a watch may take.
-	noticed := r.mostSince.Add(o.hold() + commandTime + pauseLimit)
+	// An earlier owner regards a worker as attached until its watch fails or times out.
+	noticed := r.majoritySince.Add(o.watchHold() + commandTimeout + pauseLimit)
 	return now.After(lease.SurelyOver(noticed, o.TaskLease))
 }
--- a/owner/worker.go
+++ b/owner/worker.go
@@ -19,14 +19,16 @@
 )
 
 const (
-	// holdTenths is the part of a task lease, in tenths, for which a worker holds
-	// a watch with nothing to tell. It is below the half that control lasts.
-	holdTenths = 4
-	// attachFirst and attachMost bound the wait between tries to attach.
-	attachFirst = 50 * time.Millisecond
-	attachMost  = time.Second
-	// commandTime is what a worker may take to answer beyond the hold.
-	commandTime = 2 * time.Second
+	// watchHoldTenths is the time, in tenths of a task lease, for which a worker holds a watch
+	// request while it has nothing to report. It is below one half, which is the time after
+	// which the owner's control of the worker lapses.
+	watchHoldTenths = 4
+	// minBackoff and maxBackoff limit the delay between retries.
+	minBackoff = 50 * time.Millisecond
+	maxBackoff = time.Second
+	// commandTimeout is how long a worker may take to answer a watch beyond the time for which
+	// it holds it.
+	commandTimeout = 2 * time.Second
 )
 
 // worker is a worker of an owned rack.
@@ -35,43 +37,44 @@
 	addr string
 	rack *rack
 	api  ports.Worker
-	// id is its number in the cell, or sched.NoWorker before the first attach.
+	// id is the worker's ID in the cell, or sched.NoWorker before the first attach.
 	id          sched.WorkerID
 	epoch       lease.Epoch
 	incarnation string
 	attached    bool
 	leaving     bool
-	// listedLeaving is set when the platform or a peer says that it leaves.
-	listedLeaving bool
-	// seq is the number of the last change that it told at attaching.
-	seq uint64
-	// renewed is when the last command was sent that may have renewed its
-	// leases.
-	renewed time.Time
-	// over is set when its leases are surely over and its tasks were settled.
-	over bool
-	// generation counts attaches, for those who wait for one.
-	generation chan struct{}
-	// unlisted is set while the platform does not list it.
+	// reportedLeaving is set when the platform or a peer reports that the worker is leaving.
+	reportedLeaving bool
+	// watchSeq is the sequence number of the last change contained in the reply to the last
+	// attach.
+	watchSeq uint64
+	// renewedAt is when the last command that may have renewed the worker's leases was sent.
+	renewedAt time.Time
+	// leasesExpired is set when the worker's leases have certainly expired and its tasks have
+	// been dealt with.
+	leasesExpired bool
+	// nextAttach is closed at the next attach.
+	nextAttach chan struct{}
+	// unlisted is set while the platform does not list the worker.
 	unlisted bool
-	// idle is set while the owner renews no lease here, because it may have
-	// lost the rack without knowing.
-	idle bool
-	// again ends the watch in progress.
-	again  context.CancelFunc
-	cancel context.CancelFunc
+	// renewalPaused is set while the owner does not renew leases here, because another owner
+	// may have taken over the rack unnoticed.
+	renewalPaused bool
+	// cancelWatch ends the watch in progress.
+	cancelWatch context.CancelFunc
+	cancel      context.CancelFunc
 }
 
-// addWorker starts the loop of a worker. The lock is held.
+// addWorker adds a worker and starts its loop. The lock is held.
 func (o *Owner) addWorker(r *rack, in ports.Instance) {
 	ctx, cancel := context.WithCancel(r.ctx)
 	w := &worker{
 		name: in.ID, addr: in.Addr, rack: r, api: o.Connect(in.Addr),
-		id: sched.NoWorker, epoch: r.epoch, listedLeaving: in.Leaving,
-		renewed: clock.Now(), generation: make(chan struct{}), cancel: cancel,
+		id: sched.NoWorker, epoch: r.epoch, reportedLeaving: in.Leaving,
+		renewedAt: clock.Now(), nextAttach: make(chan struct{}), cancel: cancel,
 	}
 	r.workers[in.ID] = w
-	go o.serve(ctx, w)
+	go o.runWorker(ctx, w)
 }
 
 func (o *Owner) removeWorker(w *worker) {
@@ -84,12 +87,12 @@
 	w.id = sched.NoWorker
 }
 
-// gate opens or closes a worker for new tasks. The lock is held.
-func (o *Owner) gate(w *worker) {
+// updateAvailability opens or closes a worker for new tasks. The lock is held.
+func (o *Owner) updateAvailability(w *worker) {
 	if w.id == sched.NoWorker {
 		return
 	}
-	open := w.attached && !w.idle && !w.leaving && !w.listedLeaving
+	open := w.attached && !w.renewalPaused && !w.leaving && !w.reportedLeaving
 	if open && !w.rack.closing && !o.draining {
 		o.cell.Open(w.id)
 		return
@@ -97,23 +100,23 @@
 	o.cell.Close(w.id)
 }
 
-// suspect stops new tasks on a worker and makes it attach again, under the
-// next epoch. The lock is held.
-func (o *Owner) suspect(w *worker) {
+// reattach stops new tasks on a worker and makes its loop attach it again, under the next
+// epoch. The lock is held.
+func (o *Owner) reattach(w *worker) {
 	w.attached = false
-	o.gate(w)
-	if w.again != nil {
-		w.again()
+	o.updateAvailability(w)
+	if w.cancelWatch != nil {
+		w.cancelWatch()
 	}
 }
 
-// serve attaches a worker and watches it, again and again, until ctx ends.
-func (o *Owner) serve(ctx context.Context, w *worker) {
+// runWorker attaches and watches a worker until ctx ends.
+func (o *Owner) runWorker(ctx context.Context, w *worker) {
 	wait := backoff.NewExponentialBackOff()
-	wait.InitialInterval = attachFirst
-	wait.MaxInterval = attachMost
+	wait.InitialInterval = minBackoff
+	wait.MaxInterval = maxBackoff
 	for ctx.Err() == nil {
-		if o.attach(ctx, w) && !o.resting(w) {
+		if o.attach(ctx, w) && !o.isRenewalPaused(w) {
 			wait.Reset()
 			o.watch(ctx, w)
 			continue
@@ -125,14 +128,14 @@
 	}
 }
 
-// resting reports whether no lease is to be renewed at the worker.
-func (o *Owner) resting(w *worker) bool {
+// isRenewalPaused reports whether the worker's leases must not be renewed.
+func (o *Owner) isRenewalPaused(w *worker) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return w.idle
+	return w.renewalPaused
 }
 
-// attach raises the worker's epoch and takes in what it runs.
+// attach raises the worker's epoch and applies the reported tasks.
 func (o *Owner) attach(ctx context.Context, w *worker) bool {
 	o.mu.Lock()
 	api, cmd := w.api, o.nextEpoch(w)
@@ -142,7 +145,7 @@
 	}
 	reply, err := api.Attach(ctx, cmd)
 	if err != nil {
-		o.attachRefused(w, err)
+		o.handleAttachError(w, err)
 		return false
 	}
 	fault.At(fault.Attached)
@@ -151,12 +154,12 @@
 	if ctx.Err() != nil || w.epoch != cmd.Epoch {
 		return false
 	}
-	o.sync(w, reply)
+	o.applyAttach(w, reply)
 	return true
 }
 
-// nextEpoch puts the worker under an epoch that was not used with it yet. A
-// command of the epochs before cannot be accepted once it attaches.
+// nextEpoch sets an epoch that has not been used with the worker. Once it is attached, the
+// worker refuses commands of earlier epochs.
 func (o *Owner) nextEpoch(w *worker) ports.Command {
 	if w.epoch.Table < w.rack.epoch.Table {
 		w.epoch = w.rack.epoch
@@ -164,13 +167,13 @@
 		w.epoch = w.epoch.NextLocal()
 	}
 	w.attached = false
-	o.gate(w)
+	o.updateAvailability(w)
 	return ports.Command{Owner: o.Name, Epoch: w.epoch}
 }
 
-// attachRefused learns from a refusal: a higher local epoch is passed by, a
-// higher table epoch means that the rack has another owner.
-func (o *Owner) attachRefused(w *worker, err error) {
+// handleAttachError handles a refusal: it adopts a higher local epoch, so that the next attach
+// goes beyond it. A higher table epoch means that the rack has another owner.
+func (o *Owner) handleAttachError(w *worker, err error) {
 	var higher *ports.HigherEpoch
 	if !errors.As(err, &higher) {
 		return
@@ -186,10 +189,10 @@
 	}
 }
 
-// sync takes in what a worker runs. The lock is held.
-func (o *Owner) sync(w *worker, reply ports.AttachReply) {
+// applyAttach applies the reply to an attach. The lock is held.
+func (o *Owner) applyAttach(w *worker, reply ports.AttachReply) {
 	if w.id != sched.NoWorker && w.incarnation != reply.Incarnation {
-		o.restarted(w)
+		o.handleRestart(w)
 	}
 	if w.id == sched.NoWorker {
 		w.id = o.cell.Add(w.rack.id, reply.Capacity)
@@ -197,28 +200,28 @@
 		o.workers[w.id] = w
 	}
 	w.incarnation = reply.Incarnation
-	w.attached, w.over = true, false
+	w.attached, w.leasesExpired = true, false
 	w.leaving = reply.Leaving
-	w.seq = reply.Seq
-	w.renewed = clock.Now()
+	w.watchSeq = reply.Seq
+	w.renewedAt = clock.Now()
 	reported := make(map[string]bool, len(reply.Tasks))
 	for _, rep := range reply.Tasks {
 		reported[rep.Task.ID] = true
-		o.report(w, rep)
+		o.applyReport(w, rep)
 	}
 	o.settleAbsent(w, reported)
-	close(w.generation)
-	w.generation = make(chan struct{})
-	o.gate(w)
-	o.releaseAll(w.rack)
-	o.step()
+	close(w.nextAttach)
+	w.nextAttach = make(chan struct{})
+	o.updateAvailability(w)
+	o.resolveDoubts(w.rack)
+	o.schedule()
 }
 
-// restarted settles the tasks of a worker that came back with nothing running.
-func (o *Owner) restarted(w *worker) {
+// handleRestart ends or requeues the tasks of a worker that was restarted and has lost them.
+func (o *Owner) handleRestart(w *worker) {
 	for _, t := range o.tasksOn(w) {
 		t.absent = t.spec.Repeat == ports.RepeatSafe
-		o.lose(t, "the worker was restarted")
+		o.handleLostTask(t, "the worker was restarted")
 	}
 	o.cell.Remove(w.id)
 	delete(o.workers, w.id)
@@ -227,7 +230,7 @@
 
 func (o *Owner) tasksOn(w *worker) []*task {
 	var out []*task
-	for _, t := range o.byRef {
+	for _, t := range o.tasksByRef {
 		if t.worker == w {
 			out = append(out, t)
 		}
@@ -235,8 +238,8 @@
 	return out
 }
 
-// settleAbsent settles the tasks that were sent under an epoch before this one
-// and that the worker does not have: they did not run there and never will.
+// settleAbsent handles tasks that were sent under an earlier epoch and that the worker does not
+// have: they did not run there and never will.
 func (o *Owner) settleAbsent(w *worker, reported map[string]bool) {
 	for _, t := range o.tasksOn(w) {
 		if reported[t.spec.ID] || !t.sent || !t.epoch.Less(w.epoch) {
@@ -244,38 +247,37 @@
 		}
 		t.absent = true
 		if !t.callerWaits {
-			o.neverRan(t)
+			o.handleNotRun(t)
 		}
 	}
 }
 
-// watch renews the leases of a worker and takes in its changes until that
-// fails.
+// watch renews the leases of a worker and applies its changes until a request fails.
 func (o *Owner) watch(ctx context.Context, w *worker) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	o.mu.Lock()
-	w.again = cancel
+	w.cancelWatch = cancel
 	req := ports.WatchRequest{
 		Command: o.command(w),
-		Seq:     w.seq,
+		Seq:     w.watchSeq,
 		LeaseMS: o.TaskLease.Milliseconds(),
-		HoldMS:  o.hold().Milliseconds(),
+		HoldMS:  o.watchHold().Milliseconds(),
 	}
 	attached := w.attached
 	o.mu.Unlock()
 	for attached && ctx.Err() == nil {
 		reply, err := o.watchOnce(ctx, w, req)
 		if err != nil {
-			o.watchFailed(ctx, w, err)
+			o.handleWatchError(ctx, w, err)
 			return
 		}
 		req.Seq = reply.Seq
 	}
 }
 
-// hold is how long a worker holds a watch with nothing to tell.
-func (o *Owner) hold() time.Duration { return o.TaskLease * holdTenths / 10 }
+// watchHold returns how long a worker holds a watch request while it has nothing to report.
+func (o *Owner) watchHold() time.Duration { return o.TaskLease * watchHoldTenths / 10 }
 
 func (o *Owner) command(w *worker) ports.Command {
 	return ports.Command{Owner: o.Name, Epoch: w.epoch, Incarnation: w.incarnation}
@@ -286,7 +288,7 @@
 		return ports.WatchReply{}, err
 	}
 	o.mu.Lock()
-	w.renewed = clock.Now()
+	w.renewedAt = clock.Now()
 	api := w.api
 	o.mu.Unlock()
 	reply, err := api.Watch(ctx, req)
@@ -299,25 +301,25 @@
 		return reply, ctx.Err()
 	}
 	for _, rep := range reply.Tasks {
-		o.report(w, rep)
+		o.applyReport(w, rep)
 	}
 	if reply.Leaving != w.leaving {
 		w.leaving = reply.Leaving
-		o.gate(w)
+		o.updateAvailability(w)
 	}
-	o.step()
+	o.schedule()
 	return reply, nil
 }
 
-func (o *Owner) watchFailed(ctx context.Context, w *worker, err error) {
+func (o *Owner) handleWatchError(ctx context.Context, w *worker, err error) {
 	if ctx.Err() != nil {
 		return
 	}
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	w.attached = false
-	o.gate(w)
-	level.Debug(o.Log).Log("msg", "worker not watched", "worker", w.name, "err", err)
+	o.updateAvailability(w)
+	level.Debug(o.Log).Log("msg", "watch of worker failed", "worker", w.name, "err", err)
 	if kind.Is(err, kind.Fenced) {
 		o.Lost()
 	}
