--- a/owner/owner_test.go
+++ b/owner/owner_test.go
@@ -35,41 +35,41 @@
 	RunSpecs(t, "owner")
 }
 
-const doc = `{"settings":{"cpu":"1","memory":"1GiB"},"branches":{
+const treeDoc = `{"settings":{"cpu":"1","memory":"1GiB"},"branches":{
   "batch":{"settings":{"kind":"batch"}},
   "saving":{"settings":{"kind":"batch","yield":["checkpoint"]}},
   "order":{"settings":{"kind":"call","deadline":"3s","repeat":"never"}}}}`
 
-// cell is a rack of stand-in workers, a table, and owners that share them.
-type cell struct {
+// fixture is a rack of stand-in workers and a table that several owners can share.
+type fixture struct {
 	platform *standin.Platform
 	table    *standin.Local
 	workers  []ports.Instance
 	register *tree.Register
 	servers  map[string]*httptest.Server
 	standins []*standin.Worker
-	// cleanup has a function called at the end of the test.
+	// cleanup registers a function that is called at the end of the test.
 	cleanup func(func())
 }
 
 // stop makes a worker unreachable.
-func (c *cell) stop(id string) {
+func (c *fixture) stop(id string) {
 	c.servers[id].CloseClientConnections()
 	c.servers[id].Close()
 }
 
-// newCell makes a cell of two workers for a spec.
-func newCell() *cell {
-	return newCellOf(func(f func()) { DeferCleanup(f) }, "w1", "w2")
+// newFixture creates a fixture with two workers for a spec.
+func newFixture() *fixture {
+	return newFixtureWith(func(f func()) { DeferCleanup(f) }, "w1", "w2")
 }
 
-// newCellOf makes a cell of the named workers.
-func newCellOf(cleanup func(func()), ids ...string) *cell {
-	c := &cell{
+// newFixtureWith creates a fixture with the named workers.
+func newFixtureWith(cleanup func(func()), ids ...string) *fixture {
+	c := &fixture{
 		platform: standin.NewPlatform(), table: standin.NewLocal(), register: &tree.Register{},
 		servers: make(map[string]*httptest.Server), cleanup: cleanup,
 	}
-	_, err := c.register.InstallHead(tree.Head{Version: 1, Doc: []byte(doc)})
+	_, err := c.register.InstallHead(tree.Head{Version: 1, Doc: []byte(treeDoc)})
 	Expect(err).NotTo(HaveOccurred())
 	for _, id := range ids {
 		w := standin.NewWorker(c.platform, id, "h", "r", "", sched.Vec{4000, 8 << 10, 0, 8, 64})
@@ -83,8 +83,9 @@
 	return c
 }
 
-// own writes an owner into the row of the rack and makes it own the rack.
-func (c *cell) own(name string, epoch uint64, connect func(string) ports.Worker, workers []ports.Instance) *owner.Owner {
+// startOwner starts an owner, writes it to the row of the rack, makes it adopt the rack and
+// waits until all workers are attached.
+func (c *fixture) startOwner(name string, epoch uint64, connect func(string) ports.Worker, workers []ports.Instance) *owner.Owner {
 	ctx, cancel := context.WithCancel(context.Background())
 	c.cleanup(cancel)
 	j := commit.New(c.table, name, "boot")
@@ -103,43 +104,46 @@
 	return o
 }
 
-// gate holds starts back until it is opened, and keeps what became of them.
-type gate struct {
+// blockedWorker is a worker whose starts block until startBlock.open is closed.
+type blockedWorker struct {
 	ports.Worker
 	addr  string
-	gates *gates
+	block *startBlock
 }
 
-type gates struct {
-	mu    sync.Mutex
-	held  string
-	open  chan struct{}
-	first sync.Once
-	err   error
-	done  chan struct{}
+// startBlock blocks the starts on its workers, and keeps the result of the first one.
+type startBlock struct {
+	mu          sync.Mutex
+	blockedAddr string
+	open        chan struct{}
+	firstResult sync.Once
+	err         error
+	done        chan struct{}
 }
 
-func newGates() *gates { return &gates{open: make(chan struct{}), done: make(chan struct{})} }
+func newStartBlock() *startBlock {
+	return &startBlock{open: make(chan struct{}), done: make(chan struct{})}
+}
 
-func (g *gates) connect(addr string) ports.Worker {
-	return &gate{Worker: ports.NewWorkers().At(addr), addr: addr, gates: g}
+func (g *startBlock) connect(addr string) ports.Worker {
+	return &blockedWorker{Worker: ports.NewWorkers().At(addr), addr: addr, block: g}
 }
 
-func (g *gates) at() string {
+func (g *startBlock) workerAddr() string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.held
+	return g.blockedAddr
 }
 
-func (g *gate) Start(_ context.Context, c ports.Command, t ports.Task, d time.Duration) (ports.TaskReport, error) {
-	g.gates.mu.Lock()
-	g.gates.held = g.addr
-	g.gates.mu.Unlock()
-	<-g.gates.open
+func (g *blockedWorker) Start(_ context.Context, c ports.Command, t ports.Task, d time.Duration) (ports.TaskReport, error) {
+	g.block.mu.Lock()
+	g.block.blockedAddr = g.addr
+	g.block.mu.Unlock()
+	<-g.block.open
 	rep, err := g.Worker.Start(context.Background(), c, t, d)
-	g.gates.first.Do(func() {
-		g.gates.err = err
-		close(g.gates.done)
+	g.block.firstResult.Do(func() {
+		g.block.err = err
+		close(g.block.done)
 	})
 	return rep, err
 }
@@ -156,18 +160,18 @@
 	}
 	connect := ports.NewWorkers().At
 
-	It("that was paused in the middle of a start is fenced", func(ctx context.Context) {
-		c := newCell()
-		g := newGates()
-		first := c.own("o1", 1, g.connect, c.workers)
+	It("is fenced if it was paused in the middle of a start", func(ctx context.Context) {
+		c := newFixture()
+		g := newStartBlock()
+		first := c.startOwner("o1", 1, g.connect, c.workers)
 		submit(ctx, first)
-		Eventually(g.at).ShouldNot(BeEmpty())
+		Eventually(g.workerAddr).ShouldNot(BeEmpty())
 		workers := append([]ports.Instance(nil), c.workers...)
 		for i := range workers {
 			// The next owner must not choose the same worker.
-			workers[i].Leaving = workers[i].Addr == g.at()
+			workers[i].Leaving = workers[i].Addr == g.workerAddr()
 		}
-		c.own("o2", 2, connect, workers)
+		c.startOwner("o2", 2, connect, workers)
 		Eventually(func() int { return c.platform.Record.Summary().Starts }).Should(Equal(1))
 		close(g.open)
 		<-g.done
@@ -175,9 +179,9 @@
 		Expect(c.platform.Record.Summary().Doubled).To(BeEmpty())
 	})
 
-	It("writes the intent before it sends what must not be repeated, and sends nothing without it", func(ctx context.Context) {
-		c := newCell()
-		o := c.own("o1", 1, connect, c.workers)
+	It("writes the intent of a call that must not be repeated before it sends the call, and sends nothing without it", func(ctx context.Context) {
+		c := newFixture()
+		o := c.startOwner("o1", 1, connect, c.workers)
 		call := func(id string) (*wire.CallReply, error) {
 			return o.Call(ctx, &wire.Call{Id: id, Shop: "s", Key: id, Workload: "order", Once: true, LeftUs: 2e6, Payload: []byte(`{"ms":5}`), Queue: true})
 		}
@@ -192,10 +196,9 @@
 		Expect(c.platform.Record.Summary().Starts).To(Equal(1))
 	})
 
-	It("does not take a job in twice whose row is seen before its caller goes on", func(ctx context.Context) {
-		c := newCell()
-		// The owner's own look at the index falls between the commit and its
-		// answer.
+	It("starts a job once if a scan of the index finds its row before Submit returns", func(ctx context.Context) {
+		c := newFixture()
+		// The owner scans the index between the commit and its reply.
 		c.table.Set(func(l *standin.Local) {
 			l.After = func(t ports.Txn) error {
 				if len(t.Puts) > 2 {
@@ -204,25 +207,25 @@
 				return nil
 			}
 		})
-		o := c.own("o1", 1, connect, c.workers)
+		o := c.startOwner("o1", 1, connect, c.workers)
 		submit(ctx, o)
 		Eventually(func() int { return c.platform.Record.Summary().Starts }).Should(Equal(1))
 		Consistently(func() int { return c.platform.Record.Summary().Starts }, time.Second).Should(Equal(1))
 		Expect(c.platform.Record.Summary().Doubled).To(BeEmpty())
 	})
 
-	It("forgets a worker that is listed no more, once its leases are over", func() {
-		c := newCell()
-		o := c.own("o1", 1, connect, c.workers)
+	It("removes a worker that is listed no more, once its leases have expired", func() {
+		c := newFixture()
+		o := c.startOwner("o1", 1, connect, c.workers)
 		o.Workers(c.workers[:1])
-		Consistently(func() uint32 { return o.Summary()[0].Workers }, time.Second).Should(BeEquivalentTo(2), "the list is a hint")
+		Consistently(func() uint32 { return o.Summary()[0].Workers }, time.Second).Should(BeEquivalentTo(2), "the list is only a hint")
 		c.stop("w2")
 		Eventually(func() uint32 { return o.Summary()[0].Workers }).Should(BeEquivalentTo(1))
 	})
 
-	It("settles an intent whose transaction has an unknown end as refused", func(ctx context.Context) {
-		c := newCell()
-		o := c.own("o1", 1, connect, c.workers)
+	It("marks an intent as refused if the result of its transaction is unknown", func(ctx context.Context) {
+		c := newFixture()
+		o := c.startOwner("o1", 1, connect, c.workers)
 		c.table.Set(func(l *standin.Local) {
 			l.After = func(ports.Txn) error { return kind.New(kind.Lost, "test") }
 			l.Reading = func() error { return kind.New(kind.Unavailable, "test") }
@@ -237,9 +240,8 @@
 		Expect(c.platform.Record.Summary().Starts).To(BeZero())
 	})
 
-	// holdIntent makes f run while the table holds the row of a call, and
-	// reports through the channel that it came to it.
-	holdIntent := func(c *cell, f func(row job.Job)) {
+	// onIntent calls f, once, while the table is about to commit the intent row of the call k1.
+	onIntent := func(c *fixture, f func(row job.Job)) {
 		var once sync.Once
 		c.table.Set(func(l *standin.Local) {
 			l.Before = func(t ports.Txn) error {
@@ -255,17 +257,17 @@
 	order := func(ctx context.Context, o *owner.Owner, id string) (*wire.CallReply, error) {
 		return o.Call(ctx, &wire.Call{Id: id, Shop: "s", Key: id, Workload: "order", Once: true, LeftUs: 3e6, Payload: []byte(`{"ms":5}`)})
 	}
-	stateOf := func(c *cell, id string) job.State {
+	stateOf := func(c *fixture, id string) job.State {
 		row, _ := job.Decode(c.table.Table.Get(job.RowKey(id))[0].Value)
 		return row.State
 	}
 
 	It("sends a call whose worker is attached again while its row is written", func(ctx context.Context) {
-		c := newCell()
-		o := c.own("o1", 1, connect, c.workers)
-		holdIntent(c, func(row job.Job) {
+		c := newFixture()
+		o := c.startOwner("o1", 1, connect, c.workers)
+		onIntent(c, func(row job.Job) {
 			defer GinkgoRecover()
-			// Somebody raises the epoch of the worker: the owner must attach anew.
+			// Another party raises the epoch of the worker: the owner must attach it again.
 			for _, in := range c.workers {
 				if in.ID == row.Worker {
 					higher := ports.Command{Owner: "o1", Epoch: lease.Epoch{Table: 1, Local: 5}}
@@ -279,10 +281,10 @@
 		Expect(c.platform.Record.Summary().Starts).To(Equal(1))
 	})
 
-	It("sends nothing that is not on its books, though its worker came back with another name", func(ctx context.Context) {
-		c := newCell()
-		o := c.own("o1", 1, connect, c.workers)
-		holdIntent(c, func(row job.Job) {
+	It("sends nothing that is not on its books, even if its worker was restarted", func(ctx context.Context) {
+		c := newFixture()
+		o := c.startOwner("o1", 1, connect, c.workers)
+		onIntent(c, func(row job.Job) {
 			defer GinkgoRecover()
 			for _, w := range c.standins {
 				w.Restart()
@@ -296,13 +298,13 @@
 		Eventually(func() job.State { return stateOf(c, "k1") }).Should(Equal(job.Refused))
 	})
 
-	It("sends what was placed before its rack is handed over, and takes nothing new meanwhile", func(ctx context.Context) {
-		c := newCell()
-		o := c.own("o1", 1, connect, c.workers)
-		written, goOn := make(chan struct{}), make(chan struct{})
-		holdIntent(c, func(job.Job) {
+	It("sends what was placed before its rack is handed over, and accepts nothing new meanwhile", func(ctx context.Context) {
+		c := newFixture()
+		o := c.startOwner("o1", 1, connect, c.workers)
+		written, proceed := make(chan struct{}), make(chan struct{})
+		onIntent(c, func(job.Job) {
 			close(written)
-			<-goOn
+			<-proceed
 		})
 		answered := make(chan error, 1)
 		go func() {
@@ -312,26 +314,26 @@
 		<-written
 		short, cancel := context.WithTimeout(ctx, 50*time.Millisecond)
 		defer cancel()
-		Expect(o.Close(short, "r")).To(BeFalse(), "a call is not sent yet")
+		Expect(o.Close(short, "r")).To(BeFalse(), "a call has not been sent yet")
 		_, err := order(ctx, o, "k2")
 		Expect(kind.Of(err).Outcome).To(Equal(kind.NotRun), "%v", err)
-		close(goOn)
+		close(proceed)
 		Expect(o.Close(ctx, "r")).To(BeTrue())
 		o.Drop("r")
-		Expect(<-answered).To(Succeed(), "a call in progress goes on to its answer")
+		Expect(<-answered).To(Succeed(), "a call in progress continues to its answer")
 		Expect(c.platform.Record.Summary().Starts).To(Equal(1))
 	})
 
-	It("does not take a call whose row is being written for a stray", func(ctx context.Context) {
-		c := newCell()
+	It("does not stop a call whose row is just being written", func(ctx context.Context) {
+		c := newFixture()
 		load := make(chan struct{})
 		c.table.Set(func(l *standin.Local) {
 			l.Reading = func() error { <-load; return nil }
 		})
-		o := c.own("o1", 1, connect, c.workers)
-		holdIntent(c, func(job.Job) {
+		o := c.startOwner("o1", 1, connect, c.workers)
+		onIntent(c, func(job.Job) {
 			close(load)
-			// Leaves the look at the index time to end; longer harms nothing.
+			// Gives the scan of the index time to end; a longer sleep would do no harm.
 			time.Sleep(50 * time.Millisecond)
 		})
 		_, err := o.Call(ctx, &wire.Call{Id: "k1", Shop: "s", Key: "k1", Workload: "order", Once: true, LeftUs: 3e6, Payload: []byte(`{"ms":400}`)})
--- a/owner/report_test.go
+++ b/owner/report_test.go
@@ -15,45 +15,45 @@
 	"dewpass.org/ports"
 )
 
-// A task ran in two places at once when its worker began to leave. The record of
-// the workers, and a log line for each report taken in:
+// This guards against a job that runs on two workers at once after its first worker began to
+// leave. Reports of the workers, as the owner applied them when that happened (seconds):
 //
 //	47.531  w1     starts attempt 1
 //	47.934  w1     saves and stops it, as asked
-//	47.935  owner  takes in the answer: attempt 1 is over
+//	47.935  owner  applies the reply: attempt 1 has ended
 //	47.936  w3     starts attempt 2
-//	47.937  owner  w1 reports attempt 1 as running: in the place of attempt 2
-//	47.939  owner  w1 reports attempt 1 as over: a further attempt
-//	47.940  owner  w3 reports attempt 2 as running: in the place of attempt 3
+//	47.937  owner  w1 reports attempt 1 as running: replaces attempt 2
+//	47.939  owner  w1 reports attempt 1 as ended: a new attempt
+//	47.940  owner  w3 reports attempt 2 as running: replaces attempt 3
 //	47.941  w4     starts attempt 3
 //	48.134  w3     finishes attempt 2
 //
-// The answer to the stop, on one connection, had overtaken a reply to the watch, on
-// another, that the worker had given a moment before. The owner took the late reply
-// for news. It does the same where the worker has been told to forget attempt 1 by
-// then: what starts attempt 3 there is that the worker does not have attempt 1.
+// The reply to the stop request, on one connection, overtook a reply to the watch, on another,
+// that the worker had sent just before. The owner took the late reply for a new report. The
+// same happens if the worker has already been told to forget attempt 1: then attempt 3 is
+// started because the worker does not have attempt 1.
 
-// lateWatch holds back one reply to a watch that tells of a running task until
-// the worker has answered the request to stop that task.
+// lateWatch delays the first reply to a watch that reports a running task until the worker has
+// replied to the request to stop that task.
 type lateWatch struct {
 	mu sync.Mutex
-	// sent holds the attempts that were sent, in order, and first is the address
-	// of the worker of the first one.
+	// sent holds the attempts that were sent, in order; first is the address of the worker of
+	// the first one.
 	sent  []uint32
 	first string
-	// held is closed once a reply is held back, stopped once the worker has
-	// answered the stop, and release lets the reply go on.
+	// held is closed when a reply is delayed, stopped when the worker has replied to the stop
+	// request, and release lets the delayed reply through.
 	held, stopped, release chan struct{}
 
 	hold, stop sync.Once
-	// keeps is set if workers are never told to forget an attempt.
-	keeps bool
+	// keepAttempts is set if workers are never told to forget an attempt.
+	keepAttempts bool
 }
 
-func newLateWatch(keeps bool) *lateWatch {
+func newLateWatch(keepAttempts bool) *lateWatch {
 	return &lateWatch{
 		held: make(chan struct{}), stopped: make(chan struct{}), release: make(chan struct{}),
-		keeps: keeps,
+		keepAttempts: keepAttempts,
 	}
 }
 
@@ -61,7 +61,7 @@
 	return &lateWorker{Worker: ports.NewWorkers().At(addr), addr: addr, late: l}
 }
 
-func (l *lateWatch) at() string {
+func (l *lateWatch) firstWorker() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.first
@@ -73,7 +73,7 @@
 	return append([]uint32(nil), l.sent...)
 }
 
-// pass lets a reply through; the first that tells of a running task is late.
+// pass lets a reply through, but delays the first one that reports a running task.
 func (l *lateWatch) pass(reply ports.WatchReply) {
 	for _, rep := range reply.Tasks {
 		if !rep.State.Over() {
@@ -119,42 +119,42 @@
 }
 
 func (w *lateWorker) Ack(ctx context.Context, id string, attempt uint32) error {
-	if w.late.keeps {
+	if w.late.keepAttempts {
 		return kind.New(kind.Lost, "test")
 	}
 	return w.Worker.Ack(ctx, id, attempt)
 }
 
-// takeInTime is what the owner gets to take an answer in; longer harms nothing.
-const takeInTime = 300 * time.Millisecond
+// applyTime is the time that the owner has to apply a reply; a longer time would do no harm.
+const applyTime = 300 * time.Millisecond
 
-// yieldLate runs a job whose worker begins to leave, and lets a report of before
-// the stop arrive after it.
-func yieldLate(c *cell, l *lateWatch) {
-	o := c.own("o1", 1, l.connect, c.workers)
+// stopWithLateReport runs a job whose worker begins to leave, and delivers a report from before
+// the stop after the reply to the stop.
+func stopWithLateReport(c *fixture, l *lateWatch) {
+	o := c.startOwner("o1", 1, l.connect, c.workers)
 	_, err := o.Submit(context.Background(), job.Job{
 		ID: "j1", Shop: "s", Workload: "saving", Repeat: ports.RepeatSafe, Hall: "h", Rack: "r",
-		// It saves once, so that a watch tells of it; what is left then is too short
-		// for the next attempt to do so again.
+		// The task saves a checkpoint once, so that a watch reports it. What is left then is
+		// too short for the next attempt to save one as well.
 		Payload: []byte(`{"ms":1900,"save_ms":1000}`), Submitted: time.Now(),
 	})
 	Expect(err).NotTo(HaveOccurred())
 	Eventually(l.held).Should(BeClosed())
 	workers := append([]ports.Instance(nil), c.workers...)
 	for i := range workers {
-		workers[i].Leaving = workers[i].Addr == l.at()
+		workers[i].Leaving = workers[i].Addr == l.firstWorker()
 	}
 	o.Workers(workers)
 	Eventually(l.stopped).Should(BeClosed())
-	time.Sleep(takeInTime)
+	time.Sleep(applyTime)
 	close(l.release)
 }
 
 // doneWithin is far longer than both attempts take.
 const doneWithin = 10 * time.Second
 
-// expectTwoAttempts expects the job to be done by its second attempt.
-func expectTwoAttempts(c *cell, l *lateWatch) {
+// expectTwoAttempts expects the second attempt to finish the job.
+func expectTwoAttempts(c *fixture, l *lateWatch) {
 	Eventually(func() job.State {
 		row, _ := job.Decode(c.table.Table.Get(job.RowKey("j1"))[0].Value)
 		return row.State
@@ -171,8 +171,8 @@
 		t.Run(name, func(t *testing.T) {
 			RegisterTestingT(t)
 			SetDefaultEventuallyTimeout(30 * time.Second)
-			c, l := newCellOf(t.Cleanup, "w1", "w2", "w3"), newLateWatch(keeps)
-			yieldLate(c, l)
+			c, l := newFixtureWith(t.Cleanup, "w1", "w2", "w3"), newLateWatch(keeps)
+			stopWithLateReport(c, l)
 			expectTwoAttempts(c, l)
 		})
 	}
