--- a/sched/cell.go
+++ b/sched/cell.go
@@ -41,10 +41,10 @@
 	// Quota is what the team is entitled to.
 	Quota Vec
 	// Borrow lets the team exceed its quota while no team below its own quota waits.
-	Borrow bool
-	used   Vec
-	share  float64
-	set    bool
+	Borrow   bool
+	used     Vec
+	share    float64
+	quotaSet bool
 }
 
 // Config holds the limits of a Cell. Its zero value selects the defaults.
@@ -100,7 +100,7 @@
 		c.teams = append(c.teams, Team{})
 	}
 	t := &c.teams[id]
-	t.Quota, t.Borrow, t.set = quota, borrow, true
+	t.Quota, t.Borrow, t.quotaSet = quota, borrow, true
 	t.share = t.used.Share(t.Quota)
 }
 
@@ -341,7 +341,7 @@
 		return false
 	}
 	team := &c.teams[t.Team]
-	if !team.set || team.Borrow {
+	if !team.quotaSet || team.Borrow {
 		return false
 	}
 	return team.used.Add(t.Demand).Share(team.Quota) > 1
--- a/sched/drive_test.go
+++ b/sched/drive_test.go
@@ -152,7 +152,7 @@
 	rng         *rand.Rand
 	queue       events
 	seq         uint64
-	items       map[uint64]*arrival
+	arrivals    map[uint64]*arrival
 	lastRef     uint64
 	out         *outcome
 	now         time.Duration
@@ -180,7 +180,7 @@
 func newDriver(p policy, sources []source, seed uint64) *driver {
 	return &driver{
 		policy: p, sources: sources, rng: rand.New(rand.NewPCG(seed, 7)),
-		items: map[uint64]*arrival{}, out: newOutcome(sources), placed: map[WorkerID]int{},
+		arrivals: map[uint64]*arrival{}, out: newOutcome(sources), placed: map[WorkerID]int{},
 	}
 }
 
@@ -235,7 +235,7 @@
 		d.arrive(e.src)
 		return
 	}
-	it := d.items[e.ref]
+	it := d.arrivals[e.ref]
 	if it == nil || it.gen != e.gen {
 		return
 	}
@@ -264,7 +264,7 @@
 		}
 		return
 	}
-	d.items[d.lastRef] = it
+	d.arrivals[d.lastRef] = it
 }
 
 func (d *driver) finish(ref uint64, it *arrival) {
@@ -274,7 +274,7 @@
 		d.out.missed[name]++
 	}
 	d.policy.finish(ref, it, d.now)
-	delete(d.items, ref)
+	delete(d.arrivals, ref)
 }
 
 // updateRemaining subtracts the work done since the task last started or changed speed.
@@ -310,7 +310,7 @@
 	d.buf = d.policy.decide(d.now, d.buf[:0])
 	for _, dec := range d.buf {
 		d.out.decisions++
-		it := d.items[dec.Ref]
+		it := d.arrivals[dec.Ref]
 		if it == nil {
 			continue
 		}
@@ -319,7 +319,7 @@
 			d.begin(dec.Ref, it, dec.Worker)
 		case OpExpire:
 			d.out.refused[it.source.name]++
-			delete(d.items, dec.Ref)
+			delete(d.arrivals, dec.Ref)
 		case OpResume:
 			d.updateRemaining(it)
 			it.speed = 1
--- a/sched/yield.go
+++ b/sched/yield.go
@@ -54,7 +54,7 @@
 
 func (c *Cell) underQuota(id TeamID) bool {
 	t := &c.teams[id]
-	return t.set && t.share < 1
+	return t.quotaSet && t.share < 1
 }
 
 // releaseHold ends the hold on a worker for r.
