--- a/rows/attempt.go
+++ b/rows/attempt.go
@@ -10,49 +10,49 @@
 	"dewpass.org/kind"
 )
 
-// Attempt is one sending of a write whose answer may be late or lost. While there is
-// none, the store is asked whether the write is there.
+// Attempt sends a write once whose response may be late or lost. Until the response arrives, it
+// checks periodically whether the write has taken effect.
 type Attempt struct {
 	Store Store
 	Tx    Tx
-	// Look is called every Every. It returns true once the store shows what became
-	// of the write.
+	// Look is called at intervals of Every. It returns true once the store shows whether the
+	// write took effect.
 	Look  func(ctx context.Context) (Result, bool, error)
 	Every time.Duration
-	// Limit is after how long a write that is not there is given up.
+	// Limit is how long to wait for the write to take effect.
 	Limit time.Duration
 }
 
-// answer is what the store said to a write.
-type answer struct {
+// txAnswer is the store's response to a write.
+type txAnswer struct {
 	res Result
 	err error
 }
 
-// Send sends the write. The bool reports whether the result and the error are the
-// store's own answer; if not, they are what Look returned, or the error is of kind
-// Lost: the write may take effect later, or never.
+// Send sends the write. The bool reports whether the result and the error are the store's
+// response. Otherwise they were returned by Look, or the error is of kind Lost: the write may
+// still take effect later, or never.
 func (a Attempt) Send(ctx context.Context) (Result, bool, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	answered := make(chan answer, 1)
+	answered := make(chan txAnswer, 1)
 	go func() {
 		res, err := a.Store.Tx(ctx, a.Tx)
-		answered <- answer{res, err}
+		answered <- txAnswer{res, err}
 	}()
 	begun := clock.Now()
 	tick := time.NewTicker(a.Every)
 	defer tick.Stop()
 	for {
 		select {
-		case s := <-answered:
-			return s.res, true, s.err
+		case a := <-answered:
+			return a.res, true, a.err
 		case <-tick.C:
 			if res, known, err := a.Look(ctx); known {
 				return res, false, err
 			}
 			if clock.Since(begun) > a.Limit {
-				return Result{}, false, kind.New(kind.Lost, "the write is not there and has no answer")
+				return Result{}, false, kind.New(kind.Lost, "the write has neither a response nor an effect yet")
 			}
 		}
 	}
--- a/rows/client.go
+++ b/rows/client.go
@@ -14,91 +14,92 @@
 )
 
 const (
-	// directTime is how long the store may go without a first byte of its answer, or
-	// without a further one; carriedTime bounds a call by a peer, and probeTime one
-	// that only shows whether the store answers.
-	directTime  = 1500 * time.Millisecond
-	carriedTime = 1200 * time.Millisecond
-	probeTime   = time.Second
-	// wholeTime bounds an answer that comes in: the largest, of 8 MB, takes 7 s over
-	// 10 Mbit/s.
-	wholeTime = 30 * time.Second
-	// hedgeLeast is how long the store may be without an answer before the same
-	// call goes by a peer, or hedgeTimes as long as answers take of late. What a
-	// transaction rests on is in it, so that it takes effect once.
-	hedgeLeast = 120 * time.Millisecond
-	hedgeTimes = 4
-	// patienceLeast is how long a write is waited for at least.
-	patienceLeast = 250 * time.Millisecond
-	// fresh is how long an answer shows that the store can be reached.
-	fresh = 900 * time.Millisecond
-	// tookShare is the weight of a new answer in how long answers take, in
-	// eighths.
-	tookShare = 1
+	// directTimeout bounds how long the store may take to begin its response, and each
+	// pause within the response.
+	directTimeout = 1500 * time.Millisecond
+	// relayTimeout bounds a call through a peer.
+	relayTimeout = 1200 * time.Millisecond
+	// probeTimeout bounds a call that only checks whether the store answers.
+	probeTimeout = time.Second
+	// maxTransferTime bounds the transfer of a response: the largest, of 8 MB, takes 7 s
+	// over 10 Mbit/s.
+	maxTransferTime = 30 * time.Second
+	// The same call is also sent through a peer once the store has not answered for
+	// minHedgeDelay, or hedgeLatencyFactor times its recent latency if that is longer. A
+	// transaction contains its preconditions, so it takes effect only once.
+	minHedgeDelay      = 120 * time.Millisecond
+	hedgeLatencyFactor = 4
+	// minResendDelay is the shortest time to wait for the response to a write before it
+	// is sent again.
+	minResendDelay = 250 * time.Millisecond
+	// reachableWindow is how long after a response the store counts as reachable.
+	reachableWindow = 900 * time.Millisecond
+	// latencyWeight is the weight of a new measurement in the average latency, in eighths.
+	latencyWeight = 1
 )
 
-// Call is a call to the store on its way by a peer. One of its fields is set.
-type Call struct {
+// RelayedCall is a call to the store that is sent through a peer. Exactly one field is set.
+type RelayedCall struct {
 	Tx   *Tx    `json:"tx,omitempty"`
 	Get  *Range `json:"get,omitempty"`
 	Feed *Since `json:"feed,omitempty"`
 }
 
-// Answer is the answer to a Call.
-type Answer struct {
+// RelayedAnswer is the response to a RelayedCall.
+type RelayedAnswer struct {
 	Result *Result `json:"result,omitempty"`
 	Page   *Page   `json:"page,omitempty"`
 }
 
-// Client is a Store that goes by a peer while the store cannot be reached
-// directly. Its fields must be set before use.
+// Client is a Store that calls the store directly, and through a peer while the store does not
+// answer this instance. The exported fields must be set before use.
 type Client struct {
 	Direct Store
-	// Carry sends a call by a peer that reaches the store; nil is never. Its
-	// error is of kind Unavailable if there is none.
+	// Carry sends an encoded call to a peer that reaches the store; nil disables relaying. The
+	// error is of kind Unavailable if there is no such peer.
 	Carry func(ctx context.Context, call []byte) ([]byte, error)
 	Now   func() time.Time
-	// Changed is told when the store becomes reachable or stops being so.
+	// Changed is called when the store becomes reachable or unreachable, directly or at all.
 	Changed func(direct, reachable bool)
 
 	mu sync.Mutex
-	// away says that the store did not answer this instance: calls go by a peer first.
-	// Any answer of the store itself ends that.
-	away bool
-	// took is how long the store takes to begin an answer, of late.
-	took time.Duration
-	// lastDirect is when something last came of the store itself, and lastCarried when a
-	// peer last brought an answer.
-	lastDirect, lastCarried time.Time
-	wasState                [2]bool
+	// directDown says that the store did not answer this instance, so that calls go through a
+	// peer first. Any direct response clears it.
+	directDown bool
+	// latency is the average time until the store begins its response.
+	latency time.Duration
+	// lastDirect is when data was last received from the store directly, and lastRelayed
+	// when a peer last relayed a response.
+	lastDirect, lastRelayed time.Time
+	lastReported            [2]bool
 }
 
-// DirectOK reports whether the store answers this instance itself.
-func (c *Client) DirectOK() bool { return c.Answered(fresh) }
+// DirectOK reports whether the store currently answers this instance directly.
+func (c *Client) DirectOK() bool { return c.Answered(reachableWindow) }
 
-// Answered reports whether the store has answered this instance itself within a time.
+// Answered reports whether the store has answered this instance directly within the given time.
 func (c *Client) Answered(within time.Duration) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.Now().Sub(c.lastDirect) < within
 }
 
-// Reachable reports whether the store answers, directly or by a peer.
+// Reachable reports whether the store currently answers, directly or through a peer.
 func (c *Client) Reachable() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.Now()
-	return now.Sub(c.lastDirect) < fresh || now.Sub(c.lastCarried) < fresh
+	return now.Sub(c.lastDirect) < reachableWindow || now.Sub(c.lastRelayed) < reachableWindow
 }
 
-// Silence returns for how long nothing has come of the store, directly or by a peer; 0
-// before anything has.
+// Silence returns the time since the last data from the store, direct or relayed; 0 before any
+// data was received.
 func (c *Client) Silence() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	last := c.lastDirect
-	if c.lastCarried.After(last) {
-		last = c.lastCarried
+	if c.lastRelayed.After(last) {
+		last = c.lastRelayed
 	}
 	if last.IsZero() {
 		return 0
@@ -106,42 +107,43 @@
 	return c.Now().Sub(last)
 }
 
-// KnownAway reports whether calls have shown that the store is not reached, in any way.
-func (c *Client) KnownAway() bool { return c.isAway() && !c.Reachable() }
+// KnownAway reports whether calls have shown that the store cannot be reached, neither directly
+// nor through a peer.
+func (c *Client) KnownAway() bool { return c.isDirectDown() && !c.Reachable() }
 
 // Tx implements Store.
 func (c *Client) Tx(ctx context.Context, t Tx) (Result, error) {
 	var out Result
-	err := c.do(ctx, directTime, func(ctx context.Context) (func(), error) {
+	err := c.do(ctx, directTimeout, func(ctx context.Context) (func(), error) {
 		got, err := c.Direct.Tx(ctx, t)
 		return func() { out = got }, err
-	}, Call{Tx: &t}, func(a *Answer) { out = *a.Result }, true)
+	}, RelayedCall{Tx: &t}, func(a *RelayedAnswer) { out = *a.Result }, true)
 	return out, err
 }
 
 // Get implements Store.
 func (c *Client) Get(ctx context.Context, r Range) (Page, error) {
 	var out Page
-	err := c.do(ctx, directTime, func(ctx context.Context) (func(), error) {
+	err := c.do(ctx, directTimeout, func(ctx context.Context) (func(), error) {
 		got, err := c.Direct.Get(ctx, r)
 		return func() { out = got }, err
-	}, Call{Get: &r}, func(a *Answer) { out = *a.Page }, false)
+	}, RelayedCall{Get: &r}, func(a *RelayedAnswer) { out = *a.Page }, false)
 	return out, err
 }
 
 // Feed implements Store.
 func (c *Client) Feed(ctx context.Context, s Since) (Page, error) {
 	var out Page
-	err := c.do(ctx, directTime+s.Wait, func(ctx context.Context) (func(), error) {
+	err := c.do(ctx, directTimeout+s.Wait, func(ctx context.Context) (func(), error) {
 		got, err := c.Direct.Feed(ctx, s)
 		return func() { out = got }, err
-	}, Call{Feed: &s}, func(a *Answer) { out = *a.Page }, false)
+	}, RelayedCall{Feed: &s}, func(a *RelayedAnswer) { out = *a.Page }, false)
 	return out, err
 }
 
-// DirectOnly returns the store as this instance reaches it itself, never by a peer. It is
-// for what a peer can pass on in a better way than by carrying the call. progress is told
-// of each part of an answer that comes in; it may be nil.
+// DirectOnly returns a Store that never uses a peer, for calls whose result peers can provide
+// more cheaply than by relaying. progress is called for each received part of a response; it
+// may be nil.
 func (c *Client) DirectOnly(progress func()) Store { return directOnly{c, progress} }
 
 type directOnly struct {
@@ -150,7 +152,7 @@
 }
 
 func (n directOnly) Tx(ctx context.Context, t Tx) (res Result, err error) {
-	err = n.client.try(ctx, directTime, n.progress, func(ctx context.Context) error {
+	err = n.client.callDirect(ctx, directTimeout, n.progress, func(ctx context.Context) error {
 		res, err = n.client.Direct.Tx(ctx, t)
 		return err
 	})
@@ -158,7 +160,7 @@
 }
 
 func (n directOnly) Get(ctx context.Context, r Range) (page Page, err error) {
-	err = n.client.try(ctx, directTime, n.progress, func(ctx context.Context) error {
+	err = n.client.callDirect(ctx, directTimeout, n.progress, func(ctx context.Context) error {
 		page, err = n.client.Direct.Get(ctx, r)
 		return err
 	})
@@ -166,151 +168,153 @@
 }
 
 func (n directOnly) Feed(ctx context.Context, s Since) (page Page, err error) {
-	err = n.client.try(ctx, directTime+s.Wait, n.progress, func(ctx context.Context) error {
+	err = n.client.callDirect(ctx, directTimeout+s.Wait, n.progress, func(ctx context.Context) error {
 		page, err = n.client.Direct.Feed(ctx, s)
 		return err
 	})
 	return page, err
 }
 
-// outcome is what became of one way of a call.
-type outcome struct {
+// routeResult is the result of a call over one route, direct or through a peer.
+type routeResult struct {
 	err error
-	// take puts the answer where the caller finds it.
-	take func()
+	// deliver stores the response in the caller's variables.
+	deliver func()
 }
 
-// do sends a call to the store itself, and by a peer if that takes too long or
-// the store is away. The first answer counts. A write whose answer was lost is
-// not sent again: only its sender can tell what became of it.
-func (c *Client) do(ctx context.Context, limit time.Duration, direct func(context.Context) (func(), error), call Call, take func(*Answer), write bool) error {
+// do sends a call directly, and also through a peer if the response takes too long or the store
+// is down; if it is known to be down, the peer is tried first. The first successful response is
+// used. A write whose response was lost is not sent again, because only the caller can find out
+// whether it took effect.
+func (c *Client) do(ctx context.Context, limit time.Duration, direct func(context.Context) (func(), error), call RelayedCall, deliver func(*RelayedAnswer), write bool) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	answers := make(chan outcome, 2)
-	var arriving atomic.Bool
-	byStore := func() {
+	results := make(chan routeResult, 2)
+	var receiving atomic.Bool
+	callStore := func() {
 		var done func()
-		err := c.try(ctx, limit, func() { arriving.Store(true) }, func(ctx context.Context) (err error) {
+		err := c.callDirect(ctx, limit, func() { receiving.Store(true) }, func(ctx context.Context) (err error) {
 			done, err = direct(ctx)
 			return err
 		})
-		answers <- outcome{err, done}
+		results <- routeResult{err, done}
 	}
-	byPeer := func() {
-		a, err := c.carry(ctx, call)
-		answers <- outcome{err, func() { take(a) }}
+	callPeer := func() {
+		a, err := c.callViaPeer(ctx, call)
+		results <- routeResult{err, func() { deliver(a) }}
 	}
-	away := c.isAway()
-	first, second := byStore, byPeer
-	if away {
-		first, second = byPeer, byStore
+	directDown := c.isDirectDown()
+	first, second := callStore, callPeer
+	if directDown {
+		first, second = callPeer, callStore
 	}
 	go first()
-	open, hedged := 1, false
-	hedge := time.NewTimer(c.hedgeAfter(call, away))
+	pending, hedged := 1, false
+	hedge := time.NewTimer(c.hedgeDelay(call, directDown))
 	defer hedge.Stop()
-	var lost error
+	var callErr error
 	for {
 		select {
-		case o := <-answers:
-			open--
+		case o := <-results:
+			pending--
 			if o.err == nil {
 				stall.Moved(ctx)
-				o.take()
+				o.deliver()
 				return nil
 			}
-			if lost == nil || !kind.Is(o.err, kind.Unavailable) {
-				lost = o.err
+			if callErr == nil || !kind.Is(o.err, kind.Unavailable) {
+				callErr = o.err
 			}
-			if hedged && open == 0 {
-				return lost
+			if hedged && pending == 0 {
+				return callErr
 			}
 			if !hedged && write && kind.Is(o.err, kind.Lost) {
-				return lost
+				return callErr
 			}
 		case <-hedge.C:
-			if arriving.Load() {
-				// The same answer by a peer would only take from the link.
+			if receiving.Load() {
+				// A second copy through a peer would only compete for the link.
 				continue
 			}
 		}
 		if !hedged && ctx.Err() == nil {
 			hedged = true
-			open++
+			pending++
 			go second()
 		}
-		if open == 0 {
-			return lost
+		if pending == 0 {
+			return callErr
 		}
 	}
 }
 
-// hedgeAfter returns how long a call may be without an answer before it goes the
-// other way as well.
-func (c *Client) hedgeAfter(call Call, away bool) time.Duration {
-	if away || call.Feed != nil {
-		return directTime + carriedTime
+// hedgeDelay returns how long to wait for the first route before the call is also sent over the
+// other one.
+func (c *Client) hedgeDelay(call RelayedCall, directDown bool) time.Duration {
+	if directDown || call.Feed != nil {
+		return directTimeout + relayTimeout
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return max(hedgeLeast, hedgeTimes*c.took)
+	return max(minHedgeDelay, hedgeLatencyFactor*c.latency)
 }
 
-// Patience returns after how long a write that is not there should be sent again:
-// its answer may be lost, and it may take effect seconds later or never.
+// Patience returns how long to wait for a write to appear before sending it again: its response
+// may have been lost, and it may take effect seconds later or never.
 func (c *Client) Patience() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return min(max(patienceLeast, hedgeTimes*c.took), directTime)
+	return min(max(minResendDelay, hedgeLatencyFactor*c.latency), directTimeout)
 }
 
-func (c *Client) isAway() bool {
+func (c *Client) isDirectDown() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.away
+	return c.directDown
 }
 
-// Probe asks the store itself, whatever became of earlier calls.
+// Probe calls the store directly, even if it is known to be down.
 func (c *Client) Probe(ctx context.Context, r Range) (Page, error) {
 	var page Page
-	err := c.try(ctx, probeTime, nil, func(ctx context.Context) (err error) {
+	err := c.callDirect(ctx, probeTimeout, nil, func(ctx context.Context) (err error) {
 		page, err = c.Direct.Get(ctx, r)
 		return err
 	})
 	return page, err
 }
 
-// ProbePeer asks the store by a peer. While the store turns this instance away that alone
-// shows whether calls can go on: between two requests of clients there may be none.
+// ProbePeer calls the store through a peer. While the store does not answer this instance
+// directly, only this shows that calls still succeed: there may be long pauses between client
+// requests.
 func (c *Client) ProbePeer(ctx context.Context, r Range) (Page, error) {
-	a, err := c.carry(ctx, Call{Get: &r})
+	a, err := c.callViaPeer(ctx, RelayedCall{Get: &r})
 	if err != nil {
 		return Page{}, err
 	}
 	return *a.Page, nil
 }
 
-// Carried reports whether a peer has brought an answer of the store within a time.
+// Carried reports whether a peer has relayed a response of the store within the given time.
 func (c *Client) Carried(within time.Duration) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.Now().Sub(c.lastCarried) < within
+	return c.Now().Sub(c.lastRelayed) < within
 }
 
-// try sends a call to the store itself. firstByte is how long its answer may take to
-// begin; one that comes in is waited for, however large it is. progress is told of each
-// part of the answer; it may be nil.
-func (c *Client) try(ctx context.Context, firstByte time.Duration, progress func(), direct func(context.Context) error) error {
+// callDirect calls the store directly. firstByte bounds the time until the response begins;
+// once it does, it may take up to maxTransferTime. progress is called for each received part of
+// the response; it may be nil.
+func (c *Client) callDirect(ctx context.Context, firstByte time.Duration, progress func(), direct func(context.Context) error) error {
 	begun := c.Now()
 	var latency time.Duration
-	limits := stall.Limits{First: firstByte, Gap: directTime, Whole: wholeTime}
+	limits := stall.Limits{First: firstByte, Gap: directTimeout, Whole: maxTransferTime}
 	caller := ctx
 	ctx, cancel := stall.Context(ctx, limits, func() {
-		// The caller may bound the silence more closely.
+		// The caller's context may have a tighter stall limit.
 		stall.Moved(caller)
-		heard := c.heardDirect()
+		receivedAt := c.noteDirectData()
 		if latency == 0 {
-			latency = heard.Sub(begun)
+			latency = receivedAt.Sub(begun)
 		}
 		if progress != nil {
 			progress()
@@ -318,93 +322,93 @@
 	})
 	defer cancel()
 	err := direct(ctx)
-	if firstByte > directTime {
-		// A wait for a change says nothing of how fast the store is.
+	if firstByte > directTimeout {
+		// The time spent waiting for a change is not latency.
 		latency = 0
 	} else if latency == 0 {
 		latency = c.Now().Sub(begun)
 	}
-	c.tried(begun, latency, err)
-	c.report()
+	c.recordDirectResult(begun, latency, err)
+	c.reportChange()
 	return err
 }
 
-// heardDirect notes that something has come of the store itself.
-func (c *Client) heardDirect() time.Time {
+// noteDirectData records that data was received from the store directly, and returns the time.
+func (c *Client) noteDirectData() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.lastDirect = c.Now()
 	return c.lastDirect
 }
 
-// tried takes in how a call to the store itself has ended. latency is 0 if it says nothing
-// of the store.
-func (c *Client) tried(begun time.Time, latency time.Duration, err error) {
+// recordDirectResult records the result of a direct call. latency is 0 if it was not measured.
+func (c *Client) recordDirectResult(begun time.Time, latency time.Duration, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch {
 	case err == nil:
 		c.lastDirect = c.Now()
-		c.away = false
+		c.directDown = false
 		if latency > 0 {
-			c.took += (latency - c.took) * tookShare / 8
+			c.latency += (latency - c.latency) * latencyWeight / 8
 		}
 	case c.lastDirect.Before(begun) && (kind.Is(err, kind.Unavailable) || kind.Is(err, kind.Lost)):
-		// Nothing has come since the call was begun, of this answer or another: one
-		// connection that has gone silent says nothing of the store.
-		c.away = true
+		// No data was received on any connection since the call began. A single
+		// stalled connection does not mean that the store is down.
+		c.directDown = true
 	}
 }
 
-func (c *Client) carry(ctx context.Context, call Call) (*Answer, error) {
+func (c *Client) callViaPeer(ctx context.Context, call RelayedCall) (*RelayedAnswer, error) {
 	if c.Carry == nil {
-		return nil, kind.New(kind.Unavailable, "no peer reaches the store")
+		return nil, kind.New(kind.Unavailable, "no peer to reach the store through")
 	}
 	raw, err := json.Marshal(call)
 	if err != nil {
-		return nil, kind.Wrap(kind.Internal, err, "call to the store")
+		return nil, kind.Wrap(kind.Internal, err, "encode call to the store")
 	}
-	ctx, cancel := context.WithTimeout(ctx, carriedTime)
+	ctx, cancel := context.WithTimeout(ctx, relayTimeout)
 	defer cancel()
-	back, err := c.Carry(ctx, raw)
+	reply, err := c.Carry(ctx, raw)
 	if err != nil {
 		return nil, err
 	}
-	var a Answer
-	if err := json.Unmarshal(back, &a); err != nil || (a.Page == nil) == (a.Result == nil) || (call.Tx == nil) == (a.Page == nil) {
-		return nil, kind.New(kind.Damaged, "a peer's answer for the store")
+	var a RelayedAnswer
+	if err := json.Unmarshal(reply, &a); err != nil || (a.Page == nil) == (a.Result == nil) || (call.Tx == nil) == (a.Page == nil) {
+		return nil, kind.New(kind.Damaged, "a peer relayed an invalid response of the store")
 	}
 	c.mu.Lock()
-	c.lastCarried = c.Now()
+	c.lastRelayed = c.Now()
 	c.mu.Unlock()
-	c.report()
+	c.reportChange()
 	return &a, nil
 }
 
-// report tells of a change once.
-func (c *Client) report() {
+// reportChange calls Changed if the reachability has changed since the last call.
+func (c *Client) reportChange() {
 	now := [2]bool{c.DirectOK(), c.Reachable()}
 	c.mu.Lock()
-	changed := now != c.wasState
-	c.wasState = now
+	changed := now != c.lastReported
+	c.lastReported = now
 	c.mu.Unlock()
 	if changed && c.Changed != nil {
 		c.Changed(now[0], now[1])
 	}
 }
 
-// Serve carries out a call that a peer sent, directly and never by a third.
+// Serve carries out a call that a peer sent. It calls the store directly and never relays the
+// call again.
 func (c *Client) Serve(ctx context.Context, raw []byte) ([]byte, error) {
-	var call Call
+	var call RelayedCall
 	if err := json.Unmarshal(raw, &call); err != nil {
-		return nil, kind.Wrap(kind.BadRequest, err, "call to the store")
+		return nil, kind.Wrap(kind.BadRequest, err, "decode call to the store")
 	}
-	var a Answer
-	// The answer to a call that is given up early says nothing of the store: its end is
-	// that of its own limit.
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), carriedTime)
+	var a RelayedAnswer
+	// The peer may cancel its call early, which must not count as a failure of the store,
+	// so the call has its own deadline.
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), relayTimeout)
 	defer cancel()
-	err := c.try(ctx, carriedTime, nil, func(ctx context.Context) error {
+	err := c.callDirect(ctx, relayTimeout, nil, func(ctx context.Context) error {
 		switch {
 		case call.Tx != nil:
 			res, err := c.Direct.Tx(ctx, *call.Tx)
--- a/rows/client_test.go
+++ b/rows/client_test.go
@@ -20,14 +20,14 @@
 	RunSpecs(t, "rows")
 }
 
-// fake is a store that answers after a while, or turns calls away.
-type fake struct {
+// fakeStore is a store that responds after a delay, with an error if one is set.
+type fakeStore struct {
 	after time.Duration
 	err   error
 	calls atomic.Int64
 }
 
-func (f *fake) answer(ctx context.Context) error {
+func (f *fakeStore) answer(ctx context.Context) error {
 	f.calls.Add(1)
 	select {
 	case <-time.After(f.after):
@@ -37,34 +37,38 @@
 	}
 }
 
-func (f *fake) Tx(ctx context.Context, _ Tx) (Result, error) { return Result{Ver: 1}, f.answer(ctx) }
-func (f *fake) Get(ctx context.Context, _ Range) (Page, error) {
+func (f *fakeStore) Tx(ctx context.Context, _ Tx) (Result, error) {
+	return Result{Ver: 1}, f.answer(ctx)
+}
+func (f *fakeStore) Get(ctx context.Context, _ Range) (Page, error) {
+	return Page{Ver: 1}, f.answer(ctx)
+}
+func (f *fakeStore) Feed(ctx context.Context, _ Since) (Page, error) {
 	return Page{Ver: 1}, f.answer(ctx)
 }
-func (f *fake) Feed(ctx context.Context, _ Since) (Page, error) { return Page{Ver: 1}, f.answer(ctx) }
 
-// pair returns a client whose peer reaches the store through another client.
-func pair(own, peers *fake) *Client {
+// clientWithPeer returns a client whose peer reaches the store through a client of its own.
+func clientWithPeer(own, peers *fakeStore) *Client {
 	peer := &Client{Direct: peers, Now: time.Now}
 	return &Client{Direct: own, Now: time.Now, Carry: peer.Serve}
 }
 
-// paged answers page by page, while others write.
-type paged struct {
+// pagedStore returns pages of increasing versions.
+type pagedStore struct {
 	Store
 	pages []Page
 }
 
-func (p *paged) Get(context.Context, Range) (Page, error) {
+func (p *pagedStore) Get(context.Context, Range) (Page, error) {
 	page := p.pages[0]
 	p.pages = p.pages[1:]
 	return page, nil
 }
 
-var _ = Describe("a reading of several pages", func() {
-	It("bears the version of the first, as what is written meanwhile may be missing", func(ctx context.Context) {
+var _ = Describe("reading several pages", func() {
+	It("returns the version of the first page, because later writes may be missing", func(ctx context.Context) {
 		row := func(name string) Row { return Row{Key: Key{Name: name}} }
-		p := &paged{pages: []Page{{Rows: []Row{row("b")}, More: true, Ver: 7}, {Rows: []Row{row("c")}, Ver: 9}}}
+		p := &pagedStore{pages: []Page{{Rows: []Row{row("b")}, More: true, Ver: 7}, {Rows: []Row{row("c")}, Ver: 9}}}
 		all, ver, err := All(ctx, p, Range{})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(all).To(HaveLen(2))
@@ -73,34 +77,34 @@
 })
 
 var _ = Describe("a store client", func() {
-	It("goes to the store itself while that answers", func(ctx context.Context) {
-		own, peers := &fake{}, &fake{}
-		c := pair(own, peers)
+	It("calls the store directly while it answers", func(ctx context.Context) {
+		own, peers := &fakeStore{}, &fakeStore{}
+		c := clientWithPeer(own, peers)
 		_, err := c.Tx(ctx, Tx{})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(c.DirectOK()).To(BeTrue())
 		Expect(peers.calls.Load()).To(BeZero())
 	})
 
-	It("goes by a peer as well once the store is silent, and stays with it until a probe has an answer", func(ctx context.Context) {
-		own, peers := &fake{after: time.Minute}, &fake{}
-		c := pair(own, peers)
+	It("also uses a peer once the store is silent, and stays with it until a probe succeeds", func(ctx context.Context) {
+		own, peers := &fakeStore{after: time.Minute}, &fakeStore{}
+		c := clientWithPeer(own, peers)
 		begun := time.Now()
 		_, err := c.Get(ctx, Range{})
 		Expect(err).NotTo(HaveOccurred())
-		Expect(time.Since(begun)).To(BeNumerically("<", 2*hedgeLeast))
-		Eventually(c.isAway).Should(BeTrue())
+		Expect(time.Since(begun)).To(BeNumerically("<", 2*minHedgeDelay))
+		Eventually(c.isDirectDown).Should(BeTrue())
 		before := own.calls.Load()
 		_, err = c.Get(ctx, Range{})
 		Expect(err).NotTo(HaveOccurred())
-		Expect(own.calls.Load()).To(Equal(before), "the store is left alone")
+		Expect(own.calls.Load()).To(Equal(before), "the store is not called directly")
 		own.after = 0
 		c.Probe(ctx, Range{})
-		Expect(c.isAway()).To(BeFalse())
+		Expect(c.isDirectDown()).To(BeFalse())
 	})
 
-	It("goes by a peer when the store turns it away", func(ctx context.Context) {
-		c := pair(&fake{err: kind.New(kind.Unavailable, "busy")}, &fake{})
+	It("uses a peer when the store refuses calls", func(ctx context.Context) {
+		c := clientWithPeer(&fakeStore{err: kind.New(kind.Unavailable, "busy")}, &fakeStore{})
 		res, err := c.Tx(ctx, Tx{})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(res.Ver).To(Equal(uint64(1)))
@@ -108,30 +112,31 @@
 		Expect(c.DirectOK()).To(BeFalse())
 	})
 
-	It("does not send a write again whose answer was lost", func(ctx context.Context) {
-		own, peers := &fake{err: kind.New(kind.Lost, "no answer")}, &fake{}
-		_, err := pair(own, peers).Tx(ctx, Tx{})
+	It("does not resend a write whose response was lost", func(ctx context.Context) {
+		own, peers := &fakeStore{err: kind.New(kind.Lost, "no answer")}, &fakeStore{}
+		_, err := clientWithPeer(own, peers).Tx(ctx, Tx{})
 		Expect(kind.Is(err, kind.Lost)).To(BeTrue())
 		Expect(own.calls.Load() + peers.calls.Load()).To(Equal(int64(1)))
 	})
 
-	It("says so when the store is reached in no way", func(ctx context.Context) {
-		gone := kind.New(kind.Unavailable, "busy")
-		c := pair(&fake{err: gone}, &fake{err: gone})
+	It("returns an error when the store is reachable neither directly nor through a peer", func(ctx context.Context) {
+		busy := kind.New(kind.Unavailable, "busy")
+		c := clientWithPeer(&fakeStore{err: busy}, &fakeStore{err: busy})
 		_, err := c.Get(ctx, Range{})
 		Expect(kind.Is(err, kind.Unavailable)).To(BeTrue())
 		Expect(c.Reachable()).To(BeFalse())
 	})
 })
 
-// trickle is a store whose answer comes in for some time, or stops.
-type trickle struct {
+// slowTransferStore sends its response in parts at intervals of 100 ms, and may stall after the
+// last one.
+type slowTransferStore struct {
 	Store
 	parts int
 	stops bool
 }
 
-func (t *trickle) Get(ctx context.Context, _ Range) (Page, error) {
+func (t *slowTransferStore) Get(ctx context.Context, _ Range) (Page, error) {
 	for range t.parts {
 		select {
 		case <-time.After(100 * time.Millisecond):
@@ -147,22 +152,23 @@
 	return Page{Ver: 1}, nil
 }
 
-// A configuration of 1 MB did not come through links of 10 Mbit/s: each transfer was
-// broken off after 1.5 s in whole, begun again, and asked of a peer besides after 0.1 s.
-var _ = Describe("a large answer over a thin link", func() {
-	It("is let in for as long as it comes, and not asked of a peer as well", func(ctx context.Context) {
-		peers := &fake{}
-		c := &Client{Direct: &trickle{parts: 20}, Now: time.Now, Carry: (&Client{Direct: peers, Now: time.Now}).Serve}
+// Guards against giving up transfers that make progress: a configuration of 1 MB could not be
+// loaded over links of 10 Mbit/s, because each transfer was aborted after 1.5 s in total, begun
+// again, and also requested from a peer after 0.1 s.
+var _ = Describe("a large response over a slow link", func() {
+	It("may take as long as data arrives, and is not requested from a peer as well", func(ctx context.Context) {
+		peers := &fakeStore{}
+		c := &Client{Direct: &slowTransferStore{parts: 20}, Now: time.Now, Carry: (&Client{Direct: peers, Now: time.Now}).Serve}
 		begun := time.Now()
 		_, err := c.Get(ctx, Range{})
 		Expect(err).NotTo(HaveOccurred())
-		Expect(time.Since(begun)).To(BeNumerically(">", directTime))
+		Expect(time.Since(begun)).To(BeNumerically(">", directTimeout))
 		Expect(peers.calls.Load()).To(BeZero())
-		Expect(c.Patience()).To(Equal(patienceLeast), "the store itself is as fast as before")
+		Expect(c.Patience()).To(Equal(minResendDelay), "the transfer time does not count as latency")
 	})
 
-	It("shows while it comes that the store answers", func(ctx context.Context) {
-		c := &Client{Direct: &trickle{parts: 20}, Now: time.Now}
+	It("counts as reaching the store while data arrives", func(ctx context.Context) {
+		c := &Client{Direct: &slowTransferStore{parts: 20}, Now: time.Now}
 		done := make(chan struct{})
 		go func() {
 			defer GinkgoRecover()
@@ -175,34 +181,34 @@
 		<-done
 	})
 
-	It("is given up when nothing more comes", func(ctx context.Context) {
-		c := &Client{Direct: &trickle{parts: 2, stops: true}, Now: time.Now}
+	It("is aborted when no more data arrives", func(ctx context.Context) {
+		c := &Client{Direct: &slowTransferStore{parts: 2, stops: true}, Now: time.Now}
 		begun := time.Now()
 		_, err := c.DirectOnly(nil).Get(ctx, Range{})
 		Expect(kind.Is(err, kind.Lost)).To(BeTrue())
-		Expect(time.Since(begun)).To(BeNumerically("~", directTime, time.Second))
+		Expect(time.Since(begun)).To(BeNumerically("~", directTimeout, time.Second))
 	})
 })
 
-var _ = Describe("a call that is carried for a peer", func() {
-	It("says nothing of the store when the peer stops waiting", func(ctx context.Context) {
-		c := &Client{Direct: &fake{after: 300 * time.Millisecond}, Now: time.Now}
+var _ = Describe("a call that is relayed for a peer", func() {
+	It("does not count against the store when the peer cancels it", func(ctx context.Context) {
+		c := &Client{Direct: &fakeStore{after: 300 * time.Millisecond}, Now: time.Now}
 		asked, cancel := context.WithCancel(ctx)
 		time.AfterFunc(50*time.Millisecond, cancel)
 		_, err := c.Serve(asked, []byte(`{"get":{"t":"x"}}`))
 		Expect(err).NotTo(HaveOccurred())
-		Expect(c.isAway()).To(BeFalse())
+		Expect(c.isDirectDown()).To(BeFalse())
 	})
 })
 
-// failing fails one of its readings.
-type failing struct {
+// flakyStore fails the read with the number fails, counted from 1.
+type flakyStore struct {
 	Store
 	asked []string
 	fails int
 }
 
-func (f *failing) Get(_ context.Context, r Range) (Page, error) {
+func (f *flakyStore) Get(_ context.Context, r Range) (Page, error) {
 	f.asked = append(f.asked, r.From)
 	if len(f.asked) == f.fails {
 		return Page{}, kind.New(kind.Lost, "too slow")
@@ -212,9 +218,9 @@
 	return page, nil
 }
 
-var _ = Describe("a reading of several pages that fails", func() {
-	It("goes on where it was", func(ctx context.Context) {
-		f := &failing{fails: 3}
+var _ = Describe("reading several pages after an error", func() {
+	It("continues where it stopped", func(ctx context.Context) {
+		f := &flakyStore{fails: 3}
 		var p Reading
 		Expect(p.Read(ctx, f, Range{})).NotTo(Succeed())
 		Expect(p.Done).To(BeFalse())
@@ -225,13 +231,13 @@
 	})
 })
 
-// mixed answers calls for some tables only.
-type mixed struct {
+// partlySilentStore never responds to reads of one table.
+type partlySilentStore struct {
 	Store
 	silent string
 }
 
-func (m mixed) Get(ctx context.Context, r Range) (Page, error) {
+func (m partlySilentStore) Get(ctx context.Context, r Range) (Page, error) {
 	if r.Table == m.silent {
 		<-ctx.Done()
 		return Page{}, kind.Wrap(kind.Lost, ctx.Err(), "store")
@@ -239,34 +245,34 @@
 	return Page{Ver: 1}, nil
 }
 
-var _ = Describe("a call on a connection that has gone silent", func() {
-	It("does not turn others away from a store that answers them", func(ctx context.Context) {
-		c := &Client{Direct: mixed{silent: "x"}, Now: time.Now}
+var _ = Describe("a call on a stalled connection", func() {
+	It("does not mark the store as down while it answers other calls", func(ctx context.Context) {
+		c := &Client{Direct: partlySilentStore{silent: "x"}, Now: time.Now}
 		go func() {
-			time.Sleep(directTime / 2)
+			time.Sleep(directTimeout / 2)
 			_, _ = c.DirectOnly(nil).Get(ctx, Range{Table: "y"})
 		}()
 		_, err := c.DirectOnly(nil).Get(ctx, Range{Table: "x"})
 		Expect(kind.Is(err, kind.Lost)).To(BeTrue())
-		Expect(c.isAway()).To(BeFalse())
+		Expect(c.isDirectDown()).To(BeFalse())
 		_, err = c.DirectOnly(nil).Get(ctx, Range{Table: "x"})
 		Expect(kind.Is(err, kind.Lost)).To(BeTrue())
-		Expect(c.isAway()).To(BeTrue(), "nobody was answered meanwhile")
+		Expect(c.isDirectDown()).To(BeTrue(), "no other call was answered meanwhile")
 	})
 })
 
-// slowFeed is a store that answers readings at once and waits for changes.
-type slowFeed struct{ fake }
+// slowFeedStore responds to reads at once, and to Feed after the full wait.
+type slowFeedStore struct{ fakeStore }
 
-func (f *slowFeed) Feed(_ context.Context, s Since) (Page, error) {
+func (f *slowFeedStore) Feed(_ context.Context, s Since) (Page, error) {
 	time.Sleep(s.Wait)
 	return Page{Ver: s.Ver}, nil
 }
 
-var _ = Describe("the wait for a change", func() {
-	It("does not count as how long the store takes", func(ctx context.Context) {
-		c := &Client{Direct: &slowFeed{}, Now: time.Now}
-		// What an instance without a cell does in 4.5 s: feed waits of 0.9 s, and probes every 0.3 s.
+var _ = Describe("waiting for a change", func() {
+	It("does not count as latency of the store", func(ctx context.Context) {
+		c := &Client{Direct: &slowFeedStore{}, Now: time.Now}
+		// The calls of an instance without a cell within 4.5 s: feeds that wait 0.9 s, and a probe every 0.3 s.
 		for range 5 {
 			_, err := c.DirectOnly(nil).Feed(ctx, Since{Wait: 900 * time.Millisecond})
 			Expect(err).NotTo(HaveOccurred())
@@ -275,7 +281,7 @@
 				Expect(err).NotTo(HaveOccurred())
 			}
 		}
-		Expect(c.hedgeAfter(Call{Get: &Range{}}, false)).To(Equal(hedgeLeast))
-		Expect(c.Patience()).To(Equal(patienceLeast))
+		Expect(c.hedgeDelay(RelayedCall{Get: &Range{}}, false)).To(Equal(minHedgeDelay))
+		Expect(c.Patience()).To(Equal(minResendDelay))
 	})
 })
--- a/rows/suspend_test.go
+++ b/rows/suspend_test.go
@@ -14,9 +14,9 @@
 	"dewpass.org/internal/clock"
 )
 
-func TestSuspensionEndsWhatWasHeardOfTheStore(t *testing.T) {
+func TestSuspensionInvalidatesEarlierResponses(t *testing.T) {
 	g := NewWithT(t)
-	c := &Client{Direct: &fake{}, Now: clock.Now}
+	c := &Client{Direct: &fakeStore{}, Now: clock.Now}
 	_, err := c.Get(context.Background(), Range{Table: "t"})
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(c.Reachable()).To(BeTrue())
