--- a/flow/crash.go
+++ b/flow/crash.go
@@ -2,27 +2,27 @@
 
 package flow
 
-// Blame says how likely a run is what ended its worker's process.
+// Blame says how likely it is that a run crashed its worker.
 type Blame string
 
-// How a run is blamed for the loss of its worker.
+// The levels of Blame, lowest first.
 const (
-	// BlameBeside: something else explains the loss better.
+	// BlameBeside says that something else is a more likely cause.
 	BlameBeside Blame = "beside"
-	// BlameShared: it is one of several runs that may have done it.
+	// BlameShared says that several runs are equally likely causes.
 	BlameShared Blame = "shared"
-	// BlameSole: it is the only run that may have done it.
+	// BlameSole says that no other run is a possible cause.
 	BlameSole Blame = "sole"
 )
 
-// Crash is a run that was lost with its worker. Runs are told apart by their numbers, so that
-// a loss counts once whoever sees it.
+// Crash is a run that was lost together with its worker. It is identified by the number of the
+// run, so that a loss is counted once even if several owners record it.
 type Crash struct {
 	Run   int   `json:"run"`
 	Blame Blame `json:"blame"`
-	// AgeMS is how long the run had gone on by then, in milliseconds.
+	// AgeMS is how long the run had been running, in milliseconds.
 	AgeMS int64 `json:"age_ms,omitempty"`
-	// Inherited says that the number is that of no run: a worker was lost while the owner
-	// changed, and what the former owner may have started there is not known.
+	// Inherited says that Run is not the number of a run that was observed: the worker was lost
+	// during a change of owner, and it is unknown what the former owner had started there.
 	Inherited bool `json:"inherited,omitempty"`
 }
--- a/flow/flow.go
+++ b/flow/flow.go
@@ -10,13 +10,13 @@
 	"dewpass.org/sched"
 )
 
-// The bounds of a Spec.
+// The limits of a Spec.
 const (
 	MaxText  = 4000
 	MaxSteps = 100
 	MaxCount = 10_000
 	MaxTimes = 1_000
-	// MaxTasks bounds the tasks of all steps and times together.
+	// MaxTasks bounds the number of tasks over all steps and repetitions.
 	MaxTasks = 100_000
 )
 
@@ -32,62 +32,61 @@
 	Canceled  State = "canceled"
 )
 
-// Final reports whether a job in state s is over.
+// Final reports whether a job in state s has ended.
 func (s State) Final() bool { return s == Succeeded || s == Failed || s == Canceled }
 
 // End is how a run ended.
 type End string
 
-// The ends of a run.
+// The ways in which a run ends.
 const (
-	// EndDone is the end of a run that did its work.
+	// EndDone: the run completed its work.
 	EndDone End = "done"
-	// EndFailed is a failure of the task's own or of the worker's. It counts as
-	// an attempt.
+	// EndFailed: the task or its worker failed. This counts as an attempt.
 	EndFailed End = "failed"
-	// EndStopped is the end of a run that was told to stop.
+	// EndStopped: the run was ordered to stop.
 	EndStopped End = "stopped"
-	// EndLapsed is the end of a run whose lease was not renewed.
+	// EndLapsed: the lease of the run expired without renewal.
 	EndLapsed End = "lapsed"
-	// EndBroken is the end of a member of a gang of which another ended.
+	// EndBroken: another member of the gang ended.
 	EndBroken End = "broken"
-	// EndAlone is the end of a member of a gang whose others did not come.
+	// EndAlone: the other members of the gang did not start.
 	EndAlone End = "alone"
 )
 
-// TaskID names a task of a job.
+// TaskID identifies a task of a job.
 type TaskID struct {
 	Job string
-	// Time is the repetition, 0 for a job that is not repeated.
+	// Time is the number of the repetition, 0 for a job that is not repeated.
 	Time, Step, Index int
 }
 
-// StepID names a step of a job at one of its times.
+// StepID identifies a step of a job in one repetition.
 type StepID struct {
 	Job        string
 	Time, Step int
 }
 
-// Spec is a job as its submitter gave it. It does not change.
+// Spec is a job as it was submitted. It is immutable.
 type Spec struct {
 	ID    string `json:"id"`
 	Queue string `json:"queue"`
-	// Account names the client account that handed it in, "" if none is known.
+	// Account names the client account that submitted the job, "" if it is unknown.
 	Account string `json:"account,omitempty"`
-	// Cell names the cell that has the job.
+	// Cell names the cell that owns the job.
 	Cell string `json:"cell,omitempty"`
-	// Shares names further cells that run a part of its tasks each; see Share. Cell alone
-	// says what becomes of the job.
+	// Shares names the other cells that each run a part of the tasks; see Share. Only Cell
+	// decides the state of the job.
 	Shares []string `json:"shares,omitempty"`
-	// Hall names the hall whose workers may be given tasks of the job without
-	// anything being written first; "" is none.
+	// Hall names the hall on whose workers tasks may be started without recording the
+	// hall first; "" is none.
 	Hall  string `json:"hall,omitempty"`
 	Text  string `json:"text,omitempty"`
 	Steps []Step `json:"steps"`
-	// Times is how often the steps run; 0 is once, at once.
+	// Times is how often the steps are run; 0 means once and immediately.
 	Times int `json:"times,omitempty"`
-	// StartMS is when time 0 falls due, in milliseconds since 1970, and EveryMS
-	// how long after it the next one does.
+	// StartMS is when the first repetition becomes due, in milliseconds since 1970, and EveryMS
+	// the interval between repetitions.
 	StartMS int64 `json:"start_ms,omitempty"`
 	EveryMS int64 `json:"every_ms,omitempty"`
 	// AcceptedMS is when the job was accepted, in milliseconds since 1970.
@@ -97,41 +96,41 @@
 // Step is a number of equal tasks.
 type Step struct {
 	Count int `json:"count"`
-	// Demand is what each task takes of its worker.
+	// Demand is what each task requires of its worker.
 	Demand sched.Vec `json:"demand"`
-	// EstimateMS is a rough guess of how long a task takes, in milliseconds.
+	// EstimateMS is the roughly estimated run time of a task, in milliseconds.
 	EstimateMS int64 `json:"estimate_ms,omitempty"`
-	// After holds the numbers of the steps that must be done before.
+	// After lists the numbers of the steps that must be done before this one starts.
 	After []int `json:"after,omitempty"`
-	// Needs is a label that the worker must have, "" for none.
+	// Needs is a label that the worker must have, "" for any worker.
 	Needs string `json:"needs,omitempty"`
-	// Near names the rack that holds the data, "" for none.
+	// Near names the preferred rack, which holds the data; "" for none.
 	Near string `json:"near,omitempty"`
-	// PerWorker bounds how many of the step's tasks one worker carries; 0 is no
-	// bound.
+	// PerWorker bounds how many tasks of the step may run on one worker; 0 is no limit.
 	PerWorker int `json:"per_worker,omitempty"`
-	// Image names what the tasks run.
+	// Image names the image that the tasks run.
 	Image string `json:"image,omitempty"`
-	// TargetMS is the tail of answer times that a serving task must stay under.
+	// TargetMS is the upper limit of the tail latency of a serving task, in milliseconds.
 	TargetMS int64 `json:"target_ms,omitempty"`
-	// MayMiss is how many tasks of a lasting step may be away at once.
+	// MayMiss is how many tasks of a long-running step may be unavailable at the same time.
 	MayMiss int `json:"may_miss,omitempty"`
 
-	// Checkpoints says that the tasks save their progress.
+	// Checkpoints says that the tasks save checkpoints.
 	Checkpoints bool `json:"checkpoints,omitempty"`
-	// Gang says that the tasks work only all together.
+	// Gang says that the tasks make progress only while all of them run.
 	Gang bool `json:"gang,omitempty"`
-	// SameRack says that a gang is slower when it is spread over racks.
+	// SameRack says that a gang runs slower when it is spread over several racks.
 	SameRack bool `json:"same_rack,omitempty"`
-	// Copies says that a task may run more than once at a time.
+	// Copies says that a task may have several runs at the same time.
 	Copies bool `json:"copies,omitempty"`
 	// Lasting says that the tasks run until the job is cancelled.
 	Lasting bool `json:"lasting,omitempty"`
-	// Fills says that the tasks take only the processor time that others leave.
+	// Fills says that the tasks use only processor time that other tasks leave idle.
 	Fills bool `json:"fills,omitempty"`
 }
 
-// Room returns what a task of s takes of its worker's room.
+// Room returns the resources that a task of s reserves on its worker. A task with Fills
+// reserves no processor time.
 func (s *Step) Room() sched.Vec {
 	v := s.Demand
 	if s.Fills {
@@ -140,41 +139,42 @@
 	return v
 }
 
-// Estimate returns how long a task of s may take.
+// Estimate returns the estimated run time of a task of s, at least 1 ms.
 func (s *Step) Estimate() time.Duration {
 	return time.Duration(max(s.EstimateMS, 1)) * time.Millisecond
 }
 
-// Cells returns the cells that run tasks of s, its own first.
+// Cells returns the cells that run tasks of s, the owning cell first.
 func (s *Spec) Cells() []string { return append([]string{s.Cell}, s.Shares...) }
 
-// Share is the part of a job's tasks that one cell runs. The zero value is all of them.
+// Share is the subset of the tasks of a job that one cell runs. The zero value contains all
+// tasks.
 type Share struct {
-	// At and Of say that it is those tasks of each step whose index is At modulo Of.
+	// The subset contains the tasks of each step whose index modulo Of is At.
 	At, Of int
 }
 
-// Share returns the part of s that a cell runs, and whether it runs any.
+// Share returns the share of a cell, and whether the cell runs any tasks of s.
 func (s *Spec) Share(cell string) (Share, bool) {
 	at := slices.Index(s.Cells(), cell)
 	return Share{At: at, Of: 1 + len(s.Shares)}, at >= 0
 }
 
-// Has reports whether the share has a task.
+// Has reports whether the share contains the task with the given index.
 func (s Share) Has(index int) bool { return s.Of <= 1 || index%s.Of == s.At }
 
-// Foreign reports whether another cell says what becomes of the job.
+// Foreign reports whether another cell owns the job and decides its state.
 func (s Share) Foreign() bool { return s.Of > 1 && s.At > 0 }
 
-// MayShare reports whether several cells may run s: its tasks have nothing to do with each
-// other, and no end of theirs ends it.
+// MayShare reports whether the tasks of s may be split among several cells. This is the case if
+// the tasks are independent and none of them can end the job.
 func (s *Spec) MayShare() bool {
 	return s.Times == 0 && !slices.ContainsFunc(s.Steps, func(st Step) bool {
 		return !st.Lasting || st.Gang || len(st.After) > 0
 	})
 }
 
-// Lasting reports whether any step of s lasts.
+// Lasting reports whether s has a long-running step.
 func (s *Spec) Lasting() bool {
 	for i := range s.Steps {
 		if s.Steps[i].Lasting {
@@ -184,10 +184,10 @@
 	return false
 }
 
-// Rounds returns how many times the steps run, at least 1.
+// Rounds returns how many times the steps are run, at least 1.
 func (s *Spec) Rounds() int { return max(s.Times, 1) }
 
-// Due returns when time k of s falls due; the zero time is at once.
+// Due returns when repetition k of s becomes due; the zero time means immediately.
 func (s *Spec) Due(k int) time.Time {
 	if s.Times == 0 {
 		return time.Time{}
@@ -195,7 +195,7 @@
 	return time.UnixMilli(s.StartMS + int64(k)*s.EveryMS)
 }
 
-// Work returns the estimate of all work of one time, in processor time.
+// Work returns the estimated processor time of one repetition, without long-running steps.
 func (s *Spec) Work() time.Duration {
 	var sum time.Duration
 	for i := range s.Steps {
@@ -207,8 +207,7 @@
 	return sum
 }
 
-// Chain returns the estimate of the longest chain of steps that begins with
-// step from.
+// Chain returns the estimated length of the critical path that begins with step from.
 func (s *Spec) Chain(from int) time.Duration {
 	longest := make([]time.Duration, len(s.Steps))
 	for i := len(s.Steps) - 1; i >= from; i-- {
@@ -220,8 +219,7 @@
 	return longest[from]
 }
 
-// Check returns an error of kind BadRequest with the path of what is wrong with
-// s, or nil.
+// Check validates s. The error is of kind BadRequest and has the path of the invalid field.
 func (s *Spec) Check() error {
 	switch {
 	case len(s.Text) > MaxText:
--- a/flow/flow_test.go
+++ b/flow/flow_test.go
@@ -20,7 +20,7 @@
 }
 
 var _ = Describe("a job", func() {
-	It("has the longest chain of its steps", func() {
+	It("returns the length of its critical path", func() {
 		s := &flow.Spec{Steps: []flow.Step{
 			{Count: 1, EstimateMS: 100}, {Count: 1, EstimateMS: 500, After: []int{0}},
 			{Count: 1, EstimateMS: 50, After: []int{0}}, {Count: 1, EstimateMS: 10, After: []int{1, 2}},
@@ -29,7 +29,7 @@
 		Expect(s.Chain(2)).To(Equal(60 * time.Millisecond))
 	})
 
-	DescribeTable("is refused with the path of its fault", func(s flow.Spec, path string) {
+	DescribeTable("is rejected with the path of the invalid field", func(s flow.Spec, path string) {
 		err := s.Check()
 		Expect(kind.Is(err, kind.BadRequest)).To(BeTrue())
 		Expect(kind.Of(err).Path).To(Equal(path))
@@ -37,18 +37,18 @@
 		Entry("no steps", flow.Spec{}, "/steps"),
 		Entry("a long text", flow.Spec{Text: strings.Repeat("x", flow.MaxText+1)}, "/spec"),
 		Entry("no tasks", flow.Spec{Steps: []flow.Step{{}}}, "/steps/count"),
-		Entry("a later step", flow.Spec{Steps: []flow.Step{{Count: 1, After: []int{0}}}}, "/steps/after"),
-		Entry("too many tasks over all times", flow.Spec{Times: 1000, Steps: []flow.Step{{Count: 1000}}}, "/steps"),
+		Entry("a dependency on the step itself", flow.Spec{Steps: []flow.Step{{Count: 1, After: []int{0}}}}, "/steps/after"),
+		Entry("too many tasks over all repetitions", flow.Spec{Times: 1000, Steps: []flow.Step{{Count: 1000}}}, "/steps"),
 	)
 
-	It("falls due at its times", func() {
+	It("becomes due at the time of each repetition", func() {
 		s := &flow.Spec{Times: 2, StartMS: 5000, EveryMS: 100}
 		Expect(s.Due(1)).To(Equal(time.UnixMilli(5100)))
 		Expect((&flow.Spec{}).Due(0).IsZero()).To(BeTrue())
 	})
 })
 
-var _ = It("a record is read as it was written", func() {
+var _ = It("a record decodes to what was encoded", func() {
 	var done flow.Bits
 	done.Set(9)
 	rec := &flow.Record{State: flow.Running, Stages: []flow.StageRecord{{Halls: []string{"h"}, Done: done, Fails: map[int][]int{2: {4097}}}}}
--- a/flow/share_test.go
+++ b/flow/share_test.go
@@ -8,7 +8,7 @@
 	. "github.com/onsi/gomega"
 )
 
-func TestShareOfAJobThatOneCellRunsIsAllOfIt(t *testing.T) {
+func TestShareOfAJobOfOneCellContainsAllTasks(t *testing.T) {
 	g := NewWithT(t)
 	s := &Spec{Cell: "a"}
 	share, ok := s.Share("a")
@@ -21,7 +21,7 @@
 	g.Expect(ok).To(BeFalse())
 }
 
-func TestSharesHaveEachTaskOnce(t *testing.T) {
+func TestEachTaskIsInExactlyOneShare(t *testing.T) {
 	g := NewWithT(t)
 	s := &Spec{Cell: "b", Shares: []string{"a", "c"}}
 	for i := range 10 {
@@ -39,24 +39,24 @@
 	g.Expect(other.Foreign()).To(BeTrue())
 }
 
-func TestOnlyJobsOfTasksThatLastAreShared(t *testing.T) {
+func TestOnlyIndependentLongRunningTasksMayBeShared(t *testing.T) {
 	g := NewWithT(t)
 	lasting := Step{Count: 2, Lasting: true}
 	g.Expect((&Spec{Steps: []Step{lasting, lasting}}).MayShare()).To(BeTrue())
-	for _, odd := range []Spec{
+	for _, spec := range []Spec{
 		{Steps: []Step{{Count: 1}, lasting}},
 		{Steps: []Step{lasting, {Count: 2, Lasting: true, After: []int{0}}}},
 		{Steps: []Step{{Count: 2, Lasting: true, Gang: true}}},
 		{Steps: []Step{lasting}, Times: 2},
 	} {
-		g.Expect(odd.MayShare()).To(BeFalse())
+		g.Expect(spec.MayShare()).To(BeFalse())
 	}
 }
 
-func TestSharesNameEachCellOnce(t *testing.T) {
+func TestSharesMustNameEachCellOnce(t *testing.T) {
 	g := NewWithT(t)
-	for _, odd := range [][]string{{"home"}, {"a", "a"}} {
-		s := &Spec{Cell: "home", Shares: odd, Steps: []Step{{Count: 1, Lasting: true}}}
+	for _, shares := range [][]string{{"home"}, {"a", "a"}} {
+		s := &Spec{Cell: "home", Shares: shares, Steps: []Step{{Count: 1, Lasting: true}}}
 		_, err := DecodeSpec(Encode(s))
 		g.Expect(err).To(HaveOccurred())
 	}
