--- a/config/account.go
+++ b/config/account.go
@@ -11,56 +11,56 @@
 	"dewpass.org/kind"
 )
 
-// KeyHash is the hash of a key of a client account. Keys are kept and compared as hashes: the
-// time that a look-up takes then tells nothing of a key.
+// KeyHash is the hash of an API key. Keys are stored and compared as hashes, so that the
+// duration of a look-up reveals nothing about a key.
 type KeyHash [sha256.Size]byte
 
 // HashKey returns the hash of a key.
 func HashKey(key string) KeyHash { return sha256.Sum256([]byte(key)) }
 
-// AddAccount adds a client account with its keys. The error says what is wrong with it, and never
-// names a key.
+// AddAccount adds a client account with its keys. Errors describe the invalid account but never
+// contain a key.
 func (c *Config) AddAccount(a cell.Account, keys []KeyHash) error {
 	if a.Name == "" {
 		return kind.New(kind.Damaged, "a client account has no name")
 	}
 	for _, other := range c.Accounts {
 		if other.Name == a.Name {
-			return kind.New(kind.Damaged, "the client account "+a.Name+" is there twice")
+			return kind.New(kind.Damaged, "the client account "+a.Name+" is listed twice")
 		}
 	}
 	if a.Weight < 0 {
-		return kind.New(kind.Damaged, "the weight of the client account "+a.Name+" is below zero")
+		return kind.New(kind.Damaged, "the weight of the client account "+a.Name+" is negative")
 	}
 	for _, limit := range a.Limit {
 		if limit < 0 {
-			return kind.New(kind.Damaged, "a limit of the client account "+a.Name+" is below zero")
+			return kind.New(kind.Damaged, "a limit of the client account "+a.Name+" is negative")
 		}
 	}
-	if c.keys == nil {
-		c.keys = make(map[KeyHash]string)
+	if c.accountByKey == nil {
+		c.accountByKey = make(map[KeyHash]string)
 	}
 	for _, k := range keys {
-		if name, taken := c.keys[k]; taken && name != a.Name {
+		if name, taken := c.accountByKey[k]; taken && name != a.Name {
 			return kind.New(kind.Damaged, "the client accounts "+name+" and "+a.Name+" have a key in common")
 		}
-		c.keys[k] = a.Name
+		c.accountByKey[k] = a.Name
 	}
 	c.Accounts = append(c.Accounts, a)
 	return nil
 }
 
-// Authorize returns the account of a call to a queue by its key, "" for a call without a known
-// key to a queue that needs none. ok is false if the queue needs a known key.
+// Authorize returns the client account of a call to a queue, "" if the key is missing or
+// unknown. ok is false if the queue requires a known key.
 func (c *Config) Authorize(q *Queue, key string) (account string, ok bool) {
 	if key != "" {
-		account, ok = c.keys[HashKey(key)]
+		account, ok = c.accountByKey[HashKey(key)]
 	}
 	return account, ok || q.Open || !c.Keyed
 }
 
-// CellAccounts returns the accounts as each of some cells takes them: with an equal part of
-// their limits and shares.
+// CellAccounts returns the accounts for each of a number of cells, with weights and limits
+// divided equally among them.
 func (c *Config) CellAccounts(cells int) []cell.Account {
 	parts := int64(max(cells, 1))
 	out := make([]cell.Account, len(c.Accounts))
@@ -74,7 +74,8 @@
 	return out
 }
 
-// CheckGangs returns an error if a gang of a job is larger than its account may ever have running.
+// CheckGangs returns an error if a gang of a job exceeds the limit of its account, so that it
+// could never run.
 func (c *Config) CheckGangs(spec *flow.Spec) error {
 	for _, a := range c.Accounts {
 		if a.Name != spec.Account {
@@ -82,7 +83,7 @@
 		}
 		for i := range spec.Steps {
 			if st := &spec.Steps[i]; st.Gang && !a.Holds(st.Demand.Scale(int64(st.Count))) {
-				return kind.At(kind.BadRequest, "/steps", "a gang is larger than the client account may have running")
+				return kind.At(kind.BadRequest, "/steps", "a gang exceeds the limit of the client account")
 			}
 		}
 	}
@@ -91,13 +92,14 @@
 
 type callerKey struct{}
 
-// WithCaller returns a context of a call by a client account, "" for one without a known key.
+// WithCaller returns a context for a call by a client account, "" for a call without a known
+// key.
 func WithCaller(ctx context.Context, account string) context.Context {
 	return context.WithValue(ctx, callerKey{}, account)
 }
 
-// Caller returns the client account whose call ctx is of. ok is false if it is nobody's, as where
-// an instance asks for itself.
+// Caller returns the client account on whose behalf ctx is. ok is false if there is none, as
+// for calls that an instance makes for itself.
 func Caller(ctx context.Context) (account string, ok bool) {
 	account, ok = ctx.Value(callerKey{}).(string)
 	return account, ok
--- a/config/config.go
+++ b/config/config.go
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package config is the operators' configuration as an instance has it: the
-// queues of jobs, where their clients send them, and the limits of requests.
+// Package config holds the operators' configuration: the job queues, the hosts
+// and paths at which clients reach them, client accounts, and request limits.
 //
-// Versions rise by uneven steps. An instance only ever installs a higher one.
+// Versions increase but not by one. An instance only installs a higher version.
 package config
 
 import (
@@ -15,14 +15,14 @@
 	"dewpass.org/cell"
 )
 
-// Queue is a queue with where its clients reach it.
+// Queue is a job queue with the host and the path prefix at which clients reach it.
 type Queue struct {
 	cell.Queue
 	Host   string
 	Prefix string
 }
 
-// Limits bound what a client may send.
+// Limits bounds client requests.
 type Limits struct {
 	MaxBody    int64
 	HeaderTime time.Duration
@@ -34,40 +34,41 @@
 	Version uint64
 	Queues  []Queue
 	Limits  Limits
-	// Accounts are the client accounts, and Keyed says that queues which are not open need one.
+	// Accounts are the client accounts. Keyed says that all queues which are not open require a
+	// key of one of them.
 	Accounts []cell.Account
 	Keyed    bool
-	// Raw is the document that it was read from.
+	// Raw is the document from which the configuration was decoded.
 	Raw []byte
 
-	// keys holds the name of the account of each key.
-	keys   map[KeyHash]string
-	hosts  map[string][]*Queue
-	once   sync.Once
-	packed []byte
+	// accountByKey maps the hash of each key to the name of its account.
+	accountByKey map[KeyHash]string
+	queuesByHost map[string][]*Queue
+	compressOnce sync.Once
+	compressed   []byte
 }
 
-// Packed returns the document compressed, for passing it on. Documents of thousands of
-// queues that differ in few words get several times smaller.
+// Packed returns the compressed document, for sending it to other instances. Documents with
+// thousands of similar queues become several times smaller.
 func (c *Config) Packed() []byte {
-	c.once.Do(func() { c.packed = pack(c.Raw) })
-	return c.packed
+	c.compressOnce.Do(func() { c.compressed = compress(c.Raw) })
+	return c.compressed
 }
 
-// Index prepares c for Match. It is called once, before c is shared.
+// Index prepares c for Match. It must be called once, before c is used concurrently.
 func (c *Config) Index() {
-	c.hosts = make(map[string][]*Queue)
+	c.queuesByHost = make(map[string][]*Queue)
 	for i := range c.Queues {
 		q := &c.Queues[i]
-		c.hosts[q.Host] = append(c.hosts[q.Host], q)
+		c.queuesByHost[q.Host] = append(c.queuesByHost[q.Host], q)
 	}
 }
 
-// Match returns the queue of a request and what its path says beyond the
-// queue's prefix, or nil.
+// Match returns the queue with the longest matching prefix and the rest of the path after it,
+// or nil if no queue matches.
 func (c *Config) Match(host, path string) (*Queue, string) {
 	var best *Queue
-	for _, q := range c.hosts[host] {
+	for _, q := range c.queuesByHost[host] {
 		if strings.HasPrefix(path, q.Prefix) && (best == nil || len(q.Prefix) > len(best.Prefix)) {
 			best = q
 		}
@@ -78,7 +79,7 @@
 	return best, path[len(best.Prefix):]
 }
 
-// CellQueues returns the queues as a cell takes them.
+// CellQueues returns the queues in the form that cells use.
 func (c *Config) CellQueues() []cell.Queue {
 	out := make([]cell.Queue, len(c.Queues))
 	for i := range c.Queues {
@@ -87,30 +88,30 @@
 	return out
 }
 
-// Register holds the newest Config. Its zero value is empty.
+// Register holds the newest Config. The zero value is empty and ready to use.
 type Register struct {
-	now atomic.Pointer[Config]
+	current atomic.Pointer[Config]
 }
 
-// Now returns the newest Config, nil if there is none yet.
-func (r *Register) Now() *Config { return r.now.Load() }
+// Now returns the newest Config, or nil if there is none yet.
+func (r *Register) Now() *Config { return r.current.Load() }
 
 // Version returns the version of the newest Config, 0 if there is none yet.
 func (r *Register) Version() uint64 {
-	if c := r.now.Load(); c != nil {
+	if c := r.current.Load(); c != nil {
 		return c.Version
 	}
 	return 0
 }
 
-// Install takes c if it is newer, and reports whether it was.
+// Install stores c if it is newer than the current Config, and reports whether it did.
 func (r *Register) Install(c *Config) bool {
 	for {
-		old := r.now.Load()
+		old := r.current.Load()
 		if old != nil && old.Version >= c.Version {
 			return false
 		}
-		if r.now.CompareAndSwap(old, c) {
+		if r.current.CompareAndSwap(old, c) {
 			return true
 		}
 	}
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -10,7 +10,7 @@
 	. "github.com/onsi/gomega"
 )
 
-func TestPackedDocumentIsSmallAndWhole(t *testing.T) {
+func TestPackedDocumentIsSmallAndComplete(t *testing.T) {
 	g := NewWithT(t)
 	var raw bytes.Buffer
 	for i := range 4000 {
@@ -24,17 +24,17 @@
 	g.Expect(back).To(Equal(raw.Bytes()))
 }
 
-func TestUnpackRefusesWhatIsNoDocument(t *testing.T) {
+func TestUnpackRejectsTruncatedAndOversizedDocuments(t *testing.T) {
 	g := NewWithT(t)
 	_, err := Unpack((&Config{Raw: []byte("{}")}).Packed()[:2])
 	g.Expect(err).To(HaveOccurred())
 	_, err = Unpack((&Config{Raw: []byte("{}")}).Packed()[:12])
 	g.Expect(err).To(HaveOccurred())
-	_, err = Unpack((&Config{Raw: make([]byte, unpackedMost+1)}).Packed())
+	_, err = Unpack((&Config{Raw: make([]byte, maxUnpackedBytes+1)}).Packed())
 	g.Expect(err).To(HaveOccurred())
 }
 
-func TestUnpackTakesADocumentOfAnInstanceThatDoesNotCompress(t *testing.T) {
+func TestUnpackAcceptsAnUncompressedDocument(t *testing.T) {
 	g := NewWithT(t)
 	raw, err := Unpack([]byte(`{"version":3}`))
 	g.Expect(err).NotTo(HaveOccurred())
--- a/config/pack.go
+++ b/config/pack.go
@@ -10,11 +10,11 @@
 	"dewpass.org/kind"
 )
 
-// unpackedMost bounds what a packed document may grow to. It is several times what the
-// store can hold in a row.
-const unpackedMost = 64 << 20
+// maxUnpackedBytes bounds the size of a decompressed document. It is several times the maximum
+// size of a row in the store.
+const maxUnpackedBytes = 64 << 20
 
-func pack(raw []byte) []byte {
+func compress(raw []byte) []byte {
 	var buf bytes.Buffer
 	// Writing to a Buffer does not fail, and the level is valid.
 	w, _ := gzip.NewWriterLevel(&buf, gzip.BestSpeed)
@@ -23,25 +23,25 @@
 	return buf.Bytes()
 }
 
-// gzipMagic is how compressed documents begin, and JSON does not.
+// gzipMagic is the prefix of compressed documents. JSON never begins with it.
 var gzipMagic = []byte{0x1f, 0x8b}
 
-// Unpack returns the document that Packed has compressed. One that is not compressed is
-// returned as it is: instances of before send it so.
+// Unpack decompresses a document that was returned by Packed. A document that is not compressed
+// is returned unchanged, because older versions of dewpass send it that way.
 func Unpack(packed []byte) ([]byte, error) {
 	if !bytes.HasPrefix(packed, gzipMagic) {
 		return packed, nil
 	}
 	r, err := gzip.NewReader(bytes.NewReader(packed))
 	if err != nil {
-		return nil, kind.Wrap(kind.Damaged, err, "packed configuration")
+		return nil, kind.Wrap(kind.Damaged, err, "decompress configuration")
 	}
-	raw, err := io.ReadAll(io.LimitReader(r, unpackedMost+1))
+	raw, err := io.ReadAll(io.LimitReader(r, maxUnpackedBytes+1))
 	switch {
 	case err != nil:
-		return nil, kind.Wrap(kind.Damaged, err, "packed configuration")
-	case len(raw) > unpackedMost:
-		return nil, kind.New(kind.Damaged, "packed configuration is too large")
+		return nil, kind.Wrap(kind.Damaged, err, "decompress configuration")
+	case len(raw) > maxUnpackedBytes:
+		return nil, kind.New(kind.Damaged, "decompressed configuration is too large")
 	}
 	return raw, nil
 }
