--- a/upkeep/record.go
+++ b/upkeep/record.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// Wave is what operators ask.
+// Wave is a maintenance wave as the operators request it.
 type Wave struct {
-	// Bad says why what the operators' table holds asks for no wave, "" if it does.
+	// Bad says why the row of the wave is invalid, "" if it is valid.
 	Bad      string
 	Number   int
 	Machines []string
-	// Most is how many may be down for this wave at once, and Time how long all
-	// should take.
+	// Most is how many machines may be down at once for this wave, and Time how long the whole
+	// wave should take.
 	Most int
 	Time time.Duration
 	// Done says that the wave was reported as done.
@@ -24,51 +24,53 @@
 // Machine is a machine as the platform lists it.
 type Machine struct {
 	Name string
-	// Worker is the id of its worker: its present life.
+	// Worker is the id of the worker that the machine currently runs.
 	Worker string
 	Rack   string
-	// Up says that it neither moves nor has its upkeep nor is down.
+	// Up says that the machine is running: it is not down, being moved or in its upkeep.
 	Up bool
 }
 
-// Slot is what a machine holds of a wave, or held.
+// Slot is the state of a machine in a wave.
 type Slot struct {
-	// Worker and Born name the life that was to end. Born is 0 if the worker did not say it.
+	// Worker and Born identify the incarnation of the worker that the upkeep ends. Born is
+	// its start time, 0 if it is unknown.
 	Worker string `json:"worker"`
 	Born   int64  `json:"born,omitempty"`
-	// Back says that another life has been seen under the same id since the upkeep began.
+	// Back says that another incarnation with the same worker id was seen after the upkeep had
+	// begun.
 	Back bool `json:"back,omitempty"`
-	// Begun says that the platform has begun the upkeep, or will not.
+	// Begun says that the platform has begun the upkeep, or never will.
 	Begun bool `json:"begun,omitempty"`
-	// Unsure says that the order was given again to another life, so that the upkeep
-	// may be over already: a later look at the list tells.
+	// Unsure says that the order was repeated while another incarnation was running, so that
+	// the upkeep may have been over already. A later list of machines resolves this.
 	Unsure bool `json:"unsure,omitempty"`
 }
 
-// Record is what is kept of a wave.
+// Record is the stored state of a wave: the slots by the name of the machine.
 type Record map[string]Slot
 
-// list is the platform's machines by name.
-type list map[string]Machine
+// machinesByName holds the platform's machines by their names.
+type machinesByName map[string]Machine
 
-func index(all []Machine) list {
-	l := make(list, len(all))
+func indexByName(all []Machine) machinesByName {
+	l := make(machinesByName, len(all))
 	for _, m := range all {
 		l[m.Name] = m
 	}
 	return l
 }
 
-// remaining returns the machines that stay and whose upkeep is not known to have begun:
-// first those that hold a slot.
-func (b Record) remaining(w *Wave, all list) []Machine {
+// remaining returns the machines that still exist and whose upkeep is not known to have begun.
+// Those that already have a slot come first.
+func (r Record) remaining(w *Wave, all machinesByName) []Machine {
 	var held, rest []Machine
 	for _, name := range w.Machines {
-		m, stays := all[name]
-		e, has := b[name]
+		m, exists := all[name]
+		slot, hasSlot := r[name]
 		switch {
-		case !stays || e.Begun:
-		case has:
+		case !exists || slot.Begun:
+		case hasSlot:
 			held = append(held, m)
 		default:
 			rest = append(rest, m)
@@ -77,12 +79,12 @@
 	return append(held, rest...)
 }
 
-// settled returns the machines of which a later look at the list tells that they had
-// their upkeep before it was asked for again: they are up.
-func (b Record) settled(all list) []string {
+// confirmedDone returns the machines with an Unsure slot that are up in a later list, which
+// shows that their upkeep was over before it was ordered again.
+func (r Record) confirmedDone(all machinesByName) []string {
 	var out []string
-	for name, e := range b {
-		if e.Unsure && all[name].Up {
+	for name, slot := range r {
+		if slot.Unsure && all[name].Up {
 			out = append(out, name)
 		}
 	}
@@ -90,17 +92,17 @@
 	return out
 }
 
-// returned returns the machines whose worker is back under the id that it had. The list of machines
-// may be of before the upkeep; life returns the life that a worker is known to have, and whether
-// that is sure.
-func (b Record) returned(all list, life func(worker string) (int64, bool)) []string {
+// returned returns the machines whose worker is back under the same id. As the list of machines
+// may be older than the upkeep, the start time of the worker decides: life returns the newest
+// one that is known, and whether that incarnation is certainly present.
+func (r Record) returned(all machinesByName, life func(worker string) (int64, bool)) []string {
 	var out []string
-	for name, e := range b {
+	for name, slot := range r {
 		m := all[name]
-		if !e.Begun || e.Back || !m.Up || m.Worker != e.Worker || e.Born == 0 {
+		if !slot.Begun || slot.Back || !m.Up || m.Worker != slot.Worker || slot.Born == 0 {
 			continue
 		}
-		if now, sure := life(m.Worker); sure && now != 0 && now != e.Born {
+		if now, sure := life(m.Worker); sure && now != 0 && now != slot.Born {
 			out = append(out, name)
 		}
 	}
@@ -108,30 +110,30 @@
 	return out
 }
 
-// slots returns how many more machines may go down.
-func (b Record) slots(w *Wave, all list) int {
+// freeSlots returns how many more machines may be taken down.
+func (r Record) freeSlots(w *Wave, all machinesByName) int {
 	free := w.Most
-	for name, e := range b {
-		m, stays := all[name]
-		back := m.Up && (m.Worker != e.Worker || e.Back)
-		if !e.Begun || (stays && !back) {
+	for name, slot := range r {
+		m, exists := all[name]
+		back := m.Up && (m.Worker != slot.Worker || slot.Back)
+		if !slot.Begun || (exists && !back) {
 			free--
 		}
 	}
 	return free
 }
 
-// next returns the machines to empty now, of those that are mine: all that hold a
-// slot, and as many others as there are slots.
-func (b Record) next(w *Wave, all list, mine func(rack string) bool) []Machine {
+// nextToDrain returns the machines of this cell to drain now: those that already have a slot,
+// and as many others as there are free slots.
+func (r Record) nextToDrain(w *Wave, all machinesByName, mine func(rack string) bool) []Machine {
 	var out []Machine
-	free := b.slots(w, all)
-	for _, m := range b.remaining(w, all) {
-		_, has := b[m.Name]
-		if !m.Up || !mine(m.Rack) || (!has && free <= 0) {
+	free := r.freeSlots(w, all)
+	for _, m := range r.remaining(w, all) {
+		_, hasSlot := r[m.Name]
+		if !m.Up || !mine(m.Rack) || (!hasSlot && free <= 0) {
 			continue
 		}
-		if !has {
+		if !hasSlot {
 			free--
 		}
 		out = append(out, m)
@@ -140,13 +142,12 @@
 }
 
 const (
-	patienceLeast = time.Second
-	patienceMost  = 10 * time.Second
+	minDrainTime = time.Second
+	maxDrainTime = 10 * time.Second
 )
 
-// patience is how long a machine is emptied before it goes: half of its share of the
-// wave's time.
-func (w *Wave) patience() time.Duration {
+// drainTime returns how long a machine may be drained: half of its share of the wave's time.
+func (w *Wave) drainTime() time.Duration {
 	turns := (len(w.Machines) + w.Most - 1) / max(w.Most, 1)
-	return min(max(w.Time/time.Duration(2*max(turns, 1)), patienceLeast), patienceMost)
+	return min(max(w.Time/time.Duration(2*max(turns, 1)), minDrainTime), maxDrainTime)
 }
--- a/upkeep/runner.go
+++ b/upkeep/runner.go
@@ -16,22 +16,23 @@
 	"dewpass.org/rows"
 )
 
-// Table is the table of the records.
+// Table is the table that holds the records of the waves.
 const Table = "upkeep"
 
-// Answer is what the platform says to an order.
+// Answer is the platform's response to an Order.
 type Answer int
 
 const (
-	// Begun is for an upkeep that has begun now or before: the worker's life is over.
+	// Begun says that the upkeep has begun, now or earlier: the incarnation of the worker has
+	// ended.
 	Begun Answer = iota
-	// Busy is for a machine that is not up.
+	// Busy says that the machine is not up.
 	Busy
-	// NotWanted is for a machine that is not of the wave, or not there.
+	// NotWanted says that the machine does not exist or does not belong to the wave.
 	NotWanted
 )
 
-// Order asks for the upkeep of a machine, under a fence.
+// Order asks for the upkeep of a machine, with a fencing token.
 type Order struct {
 	Machine string
 	Wave    int
@@ -39,8 +40,9 @@
 	Fence   uint64
 }
 
-// Platform is what is asked of the users' platform. An error of Begin is of kind
-// Fenced if a newer owner gave orders, and Lost if the order may be carried out.
+// Platform is the part of the users' platform that is used here. An error of Begin is of kind
+// Fenced if a newer owner has given orders, and of kind Lost if the order may have been carried
+// out.
 type Platform interface {
 	Waves(ctx context.Context) ([]Wave, error)
 	Machines(ctx context.Context) ([]Machine, error)
@@ -48,16 +50,17 @@
 	Report(ctx context.Context, wave int, done bool) error
 }
 
-// Cell is what is asked of the cell that has the workers.
+// Cell is the cell that owns the workers.
 type Cell interface {
-	// Empty has just these workers emptied, each for patience from its first call.
+	// Empty drains exactly these workers, each for at most patience from the first call that
+	// names it.
 	Empty(workers []string, patience time.Duration)
-	// Emptied reports whether a worker may go.
+	// Emptied reports whether a worker is drained and its machine may be taken down.
 	Emptied(worker string) bool
-	// Life returns when the last life that is known of a worker began, 0 if it does not say, and
-	// whether that one is surely there now.
+	// Life returns the start time of the newest known incarnation of a worker, 0 if it is
+	// unknown, and whether that incarnation is certainly present now.
 	Life(worker string) (born int64, sure bool)
-	// Over says that a life of a worker has ended.
+	// Over tells the cell that an incarnation of a worker has ended.
 	Over(worker string, born int64)
 }
 
@@ -66,15 +69,15 @@
 	Platform Platform
 	Store    rows.Store
 	Cell     Cell
-	// Holder names this instance, and Fence is its cell's epoch.
+	// Holder is the id of this instance, and Fence the epoch of its cell.
 	Holder string
 	Fence  uint64
-	// Mine reports whether the workers of a rack are of this cell.
+	// Mine reports whether the workers of a rack belong to this cell.
 	Mine func(rack string) bool
 	Log  log.Logger
 }
 
-// Step does what can be done now. It is called again and again.
+// Step does what can be done now. It must be called periodically.
 func (r *Runner) Step(ctx context.Context) error {
 	waves, err := r.Platform.Waves(ctx)
 	if err != nil {
@@ -94,18 +97,18 @@
 	if err != nil {
 		return err
 	}
-	// One wave after another: a machine may be of several.
-	return r.wave(ctx, &waves[0], index(all))
+	// Waves are carried out one after another, because a machine may be part of several.
+	return r.runWave(ctx, &waves[0], indexByName(all))
 }
 
-// page is a Record with the version at which it was read.
-type page struct {
+// versionedRecord is a Record with the version of its row.
+type versionedRecord struct {
 	Record
 	ver uint64
 }
 
-func (r *Runner) wave(ctx context.Context, w *Wave, all list) error {
-	p, err := r.read(ctx, w.Number)
+func (r *Runner) runWave(ctx context.Context, w *Wave, all machinesByName) error {
+	p, err := r.readRecord(ctx, w.Number)
 	if err != nil {
 		return err
 	}
@@ -119,32 +122,32 @@
 			return err
 		}
 	}
-	for _, name := range p.settled(all) {
-		if err := r.write(ctx, w.Number, &p, name, &Slot{Begun: true}); err != nil {
+	for _, name := range p.confirmedDone(all) {
+		if err := r.writeRecord(ctx, w.Number, &p, name, &Slot{Begun: true}); err != nil {
 			return err
 		}
 	}
 	for _, name := range p.returned(all, r.Cell.Life) {
-		e := p.Record[name]
-		e.Back = true
-		if err := r.write(ctx, w.Number, &p, name, &e); err != nil {
+		slot := p.Record[name]
+		slot.Back = true
+		if err := r.writeRecord(ctx, w.Number, &p, name, &slot); err != nil {
 			return err
 		}
 	}
-	next := p.next(w, all, r.Mine)
-	r.Cell.Empty(workers(next), w.patience())
+	next := p.nextToDrain(w, all, r.Mine)
+	r.Cell.Empty(workerIDs(next), w.drainTime())
 	for _, m := range next {
 		if !r.Cell.Emptied(m.Worker) {
 			continue
 		}
-		if err := r.begin(ctx, w, &p, m); err != nil {
+		if err := r.beginUpkeep(ctx, w, &p, m); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func workers(machines []Machine) []string {
+func workerIDs(machines []Machine) []string {
 	out := make([]string, len(machines))
 	for i, m := range machines {
 		out[i] = m.Worker
@@ -152,33 +155,33 @@
 	return out
 }
 
-// begin takes a slot for a machine and asks for its upkeep.
-func (r *Runner) begin(ctx context.Context, w *Wave, p *page, m Machine) error {
-	before, again := p.Record[m.Name]
+// beginUpkeep takes a slot for a machine and orders its upkeep.
+func (r *Runner) beginUpkeep(ctx context.Context, w *Wave, p *versionedRecord, m Machine) error {
+	previous, repeated := p.Record[m.Name]
 	born, _ := r.Cell.Life(m.Worker)
-	sameLife := !again || (before.Worker == m.Worker && before.Born == born)
-	if err := r.write(ctx, w.Number, p, m.Name, &Slot{Worker: m.Worker, Born: born}); err != nil {
+	sameIncarnation := !repeated || (previous.Worker == m.Worker && previous.Born == born)
+	if err := r.writeRecord(ctx, w.Number, p, m.Name, &Slot{Worker: m.Worker, Born: born}); err != nil {
 		return err
 	}
 	a, err := r.Platform.Begin(ctx, Order{Machine: m.Name, Wave: w.Number, Holder: r.Holder, Fence: r.Fence})
 	level.Info(r.Log).Log("event", "upkeep", "wave", w.Number, "machine", m.Name, "worker", m.Worker, "fence", r.Fence, "answer", int(a), "err", err)
 	switch {
 	case err != nil:
-		// The slot stays taken, and the order is given again.
+		// The slot stays taken, and the next step repeats the order.
 		return err
 	case a == Busy:
-		return r.write(ctx, w.Number, p, m.Name, nil)
-	case a == Begun && sameLife:
+		return r.writeRecord(ctx, w.Number, p, m.Name, nil)
+	case a == Begun && sameIncarnation:
 		r.Cell.Over(m.Worker, born)
 	}
-	return r.write(ctx, w.Number, p, m.Name, &Slot{Worker: m.Worker, Born: born, Begun: true, Unsure: !sameLife})
+	return r.writeRecord(ctx, w.Number, p, m.Name, &Slot{Worker: m.Worker, Born: born, Begun: true, Unsure: !sameIncarnation})
 }
 
-func key(wave int) rows.Key { return rows.Key{Table: Table, Name: strconv.Itoa(wave)} }
+func recordKey(wave int) rows.Key { return rows.Key{Table: Table, Name: strconv.Itoa(wave)} }
 
-func (r *Runner) read(ctx context.Context, wave int) (page, error) {
-	p := page{Record: make(Record)}
-	got, err := r.Store.Get(ctx, rows.Only(key(wave)))
+func (r *Runner) readRecord(ctx context.Context, wave int) (versionedRecord, error) {
+	p := versionedRecord{Record: make(Record)}
+	got, err := r.Store.Get(ctx, rows.Only(recordKey(wave)))
 	if err != nil {
 		return p, err
 	}
@@ -187,25 +190,25 @@
 		return p, nil
 	}
 	if err := json.Unmarshal(row.Value, &p.Record); err != nil {
-		return p, kind.Wrap(kind.Damaged, err, "record of a wave")
+		return p, kind.Wrap(kind.Damaged, err, "decode record of a wave")
 	}
 	p.ver = row.Ver
 	return p, nil
 }
 
-// write writes the record with a machine's entry, or without it if e is nil, on the
-// condition that nobody else has written it since.
-func (r *Runner) write(ctx context.Context, wave int, p *page, machine string, e *Slot) error {
-	if e == nil {
+// writeRecord writes the record with the given slot of a machine, or without it if e is nil, on
+// condition that the row has not changed since it was read.
+func (r *Runner) writeRecord(ctx context.Context, wave int, p *versionedRecord, machine string, slot *Slot) error {
+	if slot == nil {
 		delete(p.Record, machine)
 	} else {
-		p.Record[machine] = *e
+		p.Record[machine] = *slot
 	}
 	raw, err := json.Marshal(p.Record)
 	if err != nil {
-		return kind.Wrap(kind.Internal, err, "record of a wave")
+		return kind.Wrap(kind.Internal, err, "encode record of a wave")
 	}
-	k := key(wave)
+	k := recordKey(wave)
 	res, err := r.Store.Tx(ctx, rows.Tx{Expect: []rows.Check{{Key: k, Ver: p.ver}}, Put: []rows.Row{{Key: k, Value: raw}}})
 	switch {
 	case err != nil:
--- a/upkeep/upkeep_test.go
+++ b/upkeep/upkeep_test.go
@@ -20,8 +20,8 @@
 	RunSpecs(t, "upkeep")
 }
 
-// site is a platform with machines, of which the upkeep takes until back is called.
-type site struct {
+// fakePlatform is a platform whose machines change only through setMachine.
+type fakePlatform struct {
 	waves    []Wave
 	machines []Machine
 	orders   []Order
@@ -30,52 +30,52 @@
 	reported []bool
 }
 
-func (s *site) Waves(context.Context) ([]Wave, error)       { return s.waves, nil }
-func (s *site) Machines(context.Context) ([]Machine, error) { return s.machines, nil }
+func (s *fakePlatform) Waves(context.Context) ([]Wave, error)       { return s.waves, nil }
+func (s *fakePlatform) Machines(context.Context) ([]Machine, error) { return s.machines, nil }
 
-func (s *site) Begin(_ context.Context, o Order) (Answer, error) {
+func (s *fakePlatform) Begin(_ context.Context, o Order) (Answer, error) {
 	s.orders = append(s.orders, o)
 	return s.answer, s.err
 }
 
-func (s *site) Report(_ context.Context, _ int, done bool) error {
+func (s *fakePlatform) Report(_ context.Context, _ int, done bool) error {
 	s.reported = append(s.reported, done)
 	s.waves[0].Done = done
 	return nil
 }
 
-// set lets a machine be up or not, with a life.
-func (s *site) set(i int, up bool, worker string) {
+// setMachine sets whether a machine is up, and the id of its worker.
+func (s *fakePlatform) setMachine(i int, up bool, worker string) {
 	s.machines[i].Up, s.machines[i].Worker = up, worker
 }
 
-// cell is a cell whose workers are emptied unless they are busy.
-type cell struct {
-	emptied []string
-	busy    map[string]bool
-	over    []string
-	// lives are the present lives of workers that say when they began.
+// fakeCell is a cell whose workers count as drained unless they are busy.
+type fakeCell struct {
+	draining []string
+	busy     map[string]bool
+	ended    []string
+	// lives holds the start times of the present incarnations.
 	lives map[string]int64
-	// away are workers that are not there now.
+	// away holds workers that are not certainly present.
 	away map[string]bool
 }
 
-func (c *cell) Empty(workers []string, _ time.Duration) { c.emptied = workers }
-func (c *cell) Emptied(w string) bool                   { return !c.busy[w] }
-func (c *cell) Over(w string, _ int64)                  { c.over = append(c.over, w) }
-func (c *cell) Life(w string) (int64, bool)             { return c.lives[w], !c.away[w] }
+func (c *fakeCell) Empty(workers []string, _ time.Duration) { c.draining = workers }
+func (c *fakeCell) Emptied(w string) bool                   { return !c.busy[w] }
+func (c *fakeCell) Over(w string, _ int64)                  { c.ended = append(c.ended, w) }
+func (c *fakeCell) Life(w string) (int64, bool)             { return c.lives[w], !c.away[w] }
 
-// shelf is a store of one row.
-type shelf struct {
+// fakeStore is a store with one row.
+type fakeStore struct {
 	rows.Store
 	row rows.Row
 }
 
-func (s *shelf) Get(context.Context, rows.Range) (rows.Page, error) {
+func (s *fakeStore) Get(context.Context, rows.Range) (rows.Page, error) {
 	return rows.Page{Rows: []rows.Row{s.row}}, nil
 }
 
-func (s *shelf) Tx(_ context.Context, t rows.Tx) (rows.Result, error) {
+func (s *fakeStore) Tx(_ context.Context, t rows.Tx) (rows.Result, error) {
 	if t.Expect[0].Ver != s.row.Ver {
 		return rows.Result{Refused: true}, nil
 	}
@@ -83,67 +83,67 @@
 	return rows.Result{Ver: s.row.Ver}, nil
 }
 
-// refusing is a store whose rows are always newer.
-type refusing struct{ rows.Store }
+// conflictingStore refuses every write because of a conflict.
+type conflictingStore struct{ rows.Store }
 
-func (refusing) Tx(context.Context, rows.Tx) (rows.Result, error) {
+func (conflictingStore) Tx(context.Context, rows.Tx) (rows.Result, error) {
 	return rows.Result{Refused: true}, nil
 }
 
 var _ = Describe("a wave", func() {
-	var s *site
-	var c *cell
+	var s *fakePlatform
+	var c *fakeCell
 	var r *Runner
 	step := func() error { return r.Step(context.Background()) }
 
 	BeforeEach(func() {
-		s = &site{
+		s = &fakePlatform{
 			waves: []Wave{{Number: 4, Machines: []string{"m0", "m1", "m2"}, Most: 1, Time: 30 * time.Second}},
 			machines: []Machine{
 				{Name: "m0", Worker: "w0", Up: true}, {Name: "m1", Worker: "w1", Up: true}, {Name: "m2", Worker: "w2", Up: true},
 			},
 		}
-		c = &cell{busy: make(map[string]bool), lives: make(map[string]int64)}
+		c = &fakeCell{busy: make(map[string]bool), lives: make(map[string]int64)}
 		r = &Runner{
-			Platform: s, Store: &shelf{}, Cell: c, Holder: "me", Fence: 3,
+			Platform: s, Store: &fakeStore{}, Cell: c, Holder: "me", Fence: 3,
 			Mine: func(string) bool { return true }, Log: log.NewNopLogger(),
 		}
 	})
 
-	It("has one machine after another down, and is done when all have been", func() {
+	It("takes down one machine after another, and is done when all have been down", func() {
 		Expect(step()).To(Succeed())
 		Expect(s.orders).To(Equal([]Order{{Machine: "m0", Wave: 4, Holder: "me", Fence: 3}}))
-		Expect(c.over).To(Equal([]string{"w0"}))
+		Expect(c.ended).To(Equal([]string{"w0"}))
 		Expect(step()).To(Succeed())
-		Expect(s.orders).To(HaveLen(1), "the list still shows the life that has ended")
-		s.set(0, false, "w0")
+		Expect(s.orders).To(HaveLen(1), "the list still shows the incarnation that has ended")
+		s.setMachine(0, false, "w0")
 		Expect(step()).To(Succeed())
 		Expect(s.orders).To(HaveLen(1), "it is down")
-		s.set(0, true, "w0b")
+		s.setMachine(0, true, "w0b")
 		Expect(step()).To(Succeed())
 		Expect(s.orders).To(HaveLen(2))
-		s.set(1, true, "w1b")
+		s.setMachine(1, true, "w1b")
 		Expect(step()).To(Succeed())
 		Expect(s.orders).To(HaveLen(3))
 		Expect(step()).To(Succeed())
 		Expect(s.reported).To(Equal([]bool{false, true}))
 		Expect(step()).To(Succeed())
 		Expect(s.orders).To(HaveLen(3))
-		Expect(c.emptied).To(BeEmpty())
+		Expect(c.draining).To(BeEmpty())
 	})
 
-	It("goes on where a machine is back under the worker's id, and not before", func() {
+	It("continues once a machine is back under the same worker id, and not before", func() {
 		c.lives = map[string]int64{"w0": 10, "w1": 11, "w2": 12}
 		Expect(step()).To(Succeed())
 		Expect(s.orders).To(HaveLen(1))
 		Expect(step()).To(Succeed())
-		Expect(s.orders).To(HaveLen(1), "the list still shows the life that has ended")
+		Expect(s.orders).To(HaveLen(1), "the list still shows the incarnation that has ended")
 		c.lives["w0"] = 0
 		Expect(step()).To(Succeed())
-		Expect(s.orders).To(HaveLen(1), "nobody is there")
+		Expect(s.orders).To(HaveLen(1), "no incarnation is known")
 		c.lives["w0"], c.away = 5, map[string]bool{"w0": true}
 		Expect(step()).To(Succeed())
-		Expect(s.orders).To(HaveLen(1), "what a former owner knew may be of before")
+		Expect(s.orders).To(HaveLen(1), "the knowledge of a former owner may be older than the upkeep")
 		c.lives["w0"], c.away = 20, nil
 		Expect(step()).To(Succeed())
 		Expect(s.orders).To(HaveLen(2))
@@ -153,77 +153,77 @@
 		Expect(s.reported).To(Equal([]bool{false, true}))
 	})
 
-	It("takes a worker that has started again under its id by itself for no upkeep, and for no life that it ended", func() {
+	It("does not mistake a restart under the same worker id for the upkeep, and does not end the new incarnation", func() {
 		c.lives["w0"] = 10
 		s.err = kind.New(kind.Lost, "no answer")
 		Expect(step()).NotTo(Succeed())
 		c.lives["w0"], s.err = 20, nil
 		Expect(step()).To(Succeed())
 		Expect(s.orders).To(HaveLen(2), "it is ordered again")
-		Expect(c.over).To(BeEmpty(), "the upkeep may be over, and the new life goes on")
+		Expect(c.ended).To(BeEmpty(), "the upkeep may be over, and the new incarnation continues")
 	})
 
-	It("waits for a worker to be empty", func() {
+	It("waits until a worker is drained", func() {
 		c.busy["w0"] = true
 		Expect(step()).To(Succeed())
 		Expect(s.orders).To(BeEmpty())
-		Expect(c.emptied).To(Equal([]string{"w0"}))
+		Expect(c.draining).To(Equal([]string{"w0"}))
 	})
 
-	It("gives an order again whose answer was lost, and does not take a new life for the old", func() {
+	It("repeats an order whose response was lost, and does not mistake a new incarnation for the old one", func() {
 		s.err = kind.New(kind.Lost, "no answer")
 		Expect(step()).NotTo(Succeed())
-		s.set(0, true, "w0b")
+		s.setMachine(0, true, "w0b")
 		s.err = nil
 		Expect(step()).To(Succeed())
 		Expect(s.orders).To(HaveLen(2))
 		Expect(s.orders[1].Machine).To(Equal("m0"))
-		Expect(c.over).To(BeEmpty(), "w0b may have come with the upkeep")
+		Expect(c.ended).To(BeEmpty(), "w0b may have started after the upkeep")
 		Expect(step()).To(Succeed())
-		Expect(s.orders).To(HaveLen(3), "it was over: the slot is free")
+		Expect(s.orders).To(HaveLen(3), "the upkeep was over, so the slot is free")
 		Expect(s.orders[2].Machine).To(Equal("m1"))
 	})
 
-	It("keeps the slot while an order that was given again may just have begun", func() {
+	It("keeps the slot while a repeated order may only just have begun", func() {
 		s.err = kind.New(kind.Lost, "no answer")
 		Expect(step()).NotTo(Succeed())
-		s.set(0, true, "w0b")
+		s.setMachine(0, true, "w0b")
 		s.err = nil
 		Expect(step()).To(Succeed())
-		s.set(0, false, "w0b")
+		s.setMachine(0, false, "w0b")
 		Expect(step()).To(Succeed())
 		Expect(s.orders).To(HaveLen(2))
-		s.set(0, true, "w0c")
+		s.setMachine(0, true, "w0c")
 		Expect(step()).To(Succeed())
 		Expect(s.orders).To(HaveLen(3))
 	})
 
-	It("leaves machines of other cells alone", func() {
+	It("does not touch machines of other cells", func() {
 		r.Mine = func(string) bool { return false }
 		Expect(step()).To(Succeed())
 		Expect(s.orders).To(BeEmpty())
 	})
 
 	It("orders nothing while another owner writes the record", func() {
-		r.Store = refusing{r.Store}
+		r.Store = conflictingStore{r.Store}
 		Expect(kind.Is(step(), kind.Conflict)).To(BeTrue())
 		Expect(s.orders).To(BeEmpty())
 	})
 
-	It("gives the slot back of a machine that is not up, and passes over one that is not wanted", func() {
+	It("releases the slot of a machine that is not up, and skips one that does not belong to the wave", func() {
 		s.answer = Busy
 		Expect(step()).To(Succeed())
-		Expect(c.over).To(BeEmpty())
+		Expect(c.ended).To(BeEmpty())
 		s.answer = NotWanted
 		Expect(step()).To(Succeed())
 		Expect(s.orders[1].Machine).To(Equal("m0"))
 		s.answer = Begun
-		s.set(0, true, "w0b")
+		s.setMachine(0, true, "w0b")
 		Expect(step()).To(Succeed())
 		Expect(s.orders[2].Machine).To(Equal("m1"))
 	})
 
-	It("leaves a slot that another owner has taken", func() {
+	It("respects a slot that another owner has taken", func() {
 		Expect(step()).To(Succeed())
 		other := *r
 		other.Mine = func(string) bool { return true }
@@ -233,7 +233,7 @@
 		Expect(s.orders).To(HaveLen(1))
 	})
 
-	It("is done without the machines that are gone", func() {
+	It("is done without machines that no longer exist", func() {
 		s.machines = nil
 		Expect(step()).To(Succeed())
 		Expect(s.reported).To(Equal([]bool{true}))
