--- a/retry/retry_test.go
+++ b/retry/retry_test.go
@@ -11,20 +11,21 @@
 	. "github.com/onsi/gomega"
 )
 
-// outcome is how callers fared in an outage.
-type outcome struct {
-	// tries is how often a caller asked, on average.
+// outageStats describes the callers of a simulated outage.
+type outageStats struct {
+	// tries is how often a caller tried, on average.
 	tries float64
-	// most is the longest that a caller came back after the end, and busiest how many
-	// more callers came back in one tenth of a second than new ones came.
+	// most is the longest time from the end of the outage to the return of a caller, and
+	// busiest the highest number of callers that returned within a tenth of a second, less the
+	// number of new callers in that time.
 	most    time.Duration
 	busiest int
 }
 
-// lateIn returns, of the callers that come in the last quarter of a second of an outage, the
-// share that is served half a second after its end or later, if each waits for its end
-// before it is refused and then comes back when it is told to.
-func lateIn(length, wait time.Duration, rate int) float64 {
+// lateShare returns the share of late callers among those that arrive in the last quarter of a
+// second of an outage. Each caller waits for the end, is then refused and returns when it is
+// told to; it is late if it is served half a second or more after the end.
+func lateShare(length, wait time.Duration, rate int) float64 {
 	late, came := 0, 0
 	for i := range int(length.Seconds() * float64(rate)) {
 		begun := time.Duration(i) * time.Second / time.Duration(rate)
@@ -43,10 +44,10 @@
 	return float64(late) / float64(came)
 }
 
-// replay plays an outage into which rate new callers a second run, as recorded arrivals,
-// each of which comes back when it is told to.
-func replay(length time.Duration, rate int, after func(age time.Duration, key string) time.Duration) outcome {
-	var out outcome
+// simulateOutage simulates an outage in which rate new callers arrive per second. Each of them
+// returns when it is told to.
+func simulateOutage(length time.Duration, rate int, after func(age time.Duration, key string) time.Duration) outageStats {
+	var out outageStats
 	returns := make(map[int]int)
 	callers := int(length.Seconds()) * rate
 	for i := range callers {
@@ -66,18 +67,18 @@
 	return out
 }
 
-func fixed(time.Duration, string) time.Duration { return time.Second }
+func fixedDelay(time.Duration, string) time.Duration { return time.Second }
 
-func TestCallersOfAShortOutageComeBackAsSoonAsBefore(t *testing.T) {
+func TestShortOutageUsesTheMinimumDelay(t *testing.T) {
 	g := NewWithT(t)
-	now, before := replay(time.Second, 100, After), replay(time.Second, 100, fixed)
+	now, before := simulateOutage(time.Second, 100, After), simulateOutage(time.Second, 100, fixedDelay)
 	g.Expect(now).To(Equal(before))
 }
 
-func TestCallersOfALongOutageAskSeldomAndReturnSpread(t *testing.T) {
+func TestLongOutageHasFewRetriesThatAreSpread(t *testing.T) {
 	g := NewWithT(t)
 	for _, length := range []time.Duration{10 * time.Second, 30 * time.Second, 2 * time.Minute} {
-		now, before := replay(length, 100, After), replay(length, 100, fixed)
+		now, before := simulateOutage(length, 100, After), simulateOutage(length, 100, fixedDelay)
 		t.Logf("%v: %+v, each after a second %+v", length, now, before)
 		g.Expect(now.tries).To(BeNumerically("<", before.tries*0.65))
 		g.Expect(now.most).To(BeNumerically("<=", min(length, Most)))
@@ -85,23 +86,23 @@
 	}
 }
 
-func TestCallersThatComeJustBeforeTheEndAreServedAtItsEnd(t *testing.T) {
+func TestCallersThatArriveJustBeforeTheEndAreServedAtTheEnd(t *testing.T) {
 	g := NewWithT(t)
 	for _, length := range []time.Duration{time.Second / 2, 4 * time.Second, 20 * time.Second} {
-		at, waited := lateIn(length, 0, 100), lateIn(length, Wait(time.Minute, 0), 100)
+		at, waited := lateShare(length, 0, 100), lateShare(length, Wait(time.Minute, 0), 100)
 		t.Logf("%v: late %.2f refused at once, %.2f after a wait", length, at, waited)
 		g.Expect(at).To(Equal(1.0))
 		g.Expect(waited).To(BeZero())
 	}
 }
 
-func TestNoMoreCallersWaitThanThereIsRoomFor(t *testing.T) {
+func TestNumberOfWaitingCallersIsLimited(t *testing.T) {
 	g := NewWithT(t)
 	g.Expect(Wait(time.Minute, WaitingMost-1)).To(Equal(Patience))
 	g.Expect(Wait(time.Minute, WaitingMost)).To(BeZero())
 }
 
-func TestACallerWhoseTimeIsNearlyOverIsAnsweredInTime(t *testing.T) {
+func TestWaitLeavesTimeBeforeTheDeadline(t *testing.T) {
 	g := NewWithT(t)
 	for _, left := range []time.Duration{time.Second / 2, 100 * time.Millisecond, time.Millisecond} {
 		g.Expect(Wait(left, 0)).To(BeNumerically("<=", left/4))
@@ -109,7 +110,7 @@
 	g.Expect(Wait(-time.Second, 0)).To(BeZero())
 }
 
-func TestACallerIsToldTheSameAgain(t *testing.T) {
+func TestDelayIsDeterministicAndSpreadByKey(t *testing.T) {
 	g := NewWithT(t)
 	var told []time.Duration
 	for i := range 100 {
