--- a/lease/lease.go
+++ b/lease/lease.go
@@ -7,15 +7,15 @@
 	"time"
 )
 
-// Epoch orders the owners of one rack. The zero Epoch is below all others.
+// Epoch orders the owners of one rack. The zero Epoch is lower than all others.
 type Epoch struct {
-	// Table is the number that the platform's table gave.
+	// Table is the number issued by the platform's table.
 	Table uint64 `json:"table"`
-	// Local counts takeovers within the hall since Table was given.
+	// Local counts the takeovers within the hall since Table was issued.
 	Local uint64 `json:"local"`
 }
 
-// Less reports whether e comes before o.
+// Less reports whether e is lower than o.
 func (e Epoch) Less(o Epoch) bool {
 	if e.Table != o.Table {
 		return e.Table < o.Table
@@ -34,56 +34,54 @@
 	return strconv.FormatUint(e.Table, 10) + "." + strconv.FormatUint(e.Local, 10)
 }
 
-// marginShare is the part of a lease that clocks may drift apart by: a
-// sixteenth is far more than the worst clock that runs freely.
-const marginShare = 16
+// marginDivisor is the divisor of the length of a lease that gives its margin for clock drift.
+// One sixteenth is far more than the drift of the worst unsynchronized clock.
+const marginDivisor = 16
 
-// Margin returns the time that the holder gives up early, and that others wait
-// longer, for a lease of the given length.
-func Margin(length time.Duration) time.Duration { return length / marginShare }
+// Margin returns the safety margin of a lease of the given length: the holder stops using it
+// this much early, and others wait this much longer.
+func Margin(length time.Duration) time.Duration { return length / marginDivisor }
 
-// Lease is the holder's view of a lease. Its zero value has ended.
+// Lease is a lease from its holder's view. The zero value has expired.
 type Lease struct {
 	until time.Time
 }
 
-// Renew returns the lease after a renewal whose request was sent at sent.
+// Renew returns the lease after a renewal whose request was sent at the time sent.
 func Renew(sent time.Time, length time.Duration) Lease {
 	return Lease{until: sent.Add(length - Margin(length))}
 }
 
-// Held reports whether the holder may still act on l.
+// Held reports whether the holder may still act on the lease.
 func (l Lease) Held(now time.Time) bool { return now.Before(l.until) }
 
-// Until returns the end of l as its holder counts it.
+// Until returns the end of the lease from its holder's view.
 func (l Lease) Until() time.Time { return l.until }
 
-// SurelyOver returns when a lease on another machine has ended for certain.
-// lastSent is when the last renewal was sent that may have been received. That
-// machine accepts a renewal only while the lease before it holds, and at most
-// one renewal is unanswered at a time, so one renewal may start up to one
-// length after lastSent and last another.
+// SurelyOver returns when a lease that is held on another machine has certainly expired.
+// lastSent is when the last renewal that may have been received was sent. The holder accepts a
+// renewal only while the previous lease is valid, and at most one renewal is outstanding at a
+// time, so that a renewal may start up to one length after lastSent and last for another.
 func SurelyOver(lastSent time.Time, length time.Duration) time.Time {
 	return lastSent.Add(2*length + Margin(2*length))
 }
 
-// Guard notices pauses of its own process. Limit must be set before use.
+// Guard detects pauses of its own process. Limit must be set before use.
 type Guard struct {
-	// Limit is the gap between two ticks that counts as a pause.
+	// Limit is the longest gap between two ticks that does not count as a pause.
 	Limit time.Duration
 	last  time.Time
 }
 
-// Tick tells the guard that the process runs at now, and reports whether it
-// had been paused since the tick before.
+// Tick records that the process runs at the time now, and reports whether it was paused since
+// the previous tick.
 func (g *Guard) Tick(now time.Time) bool {
 	paused := !g.last.IsZero() && now.Sub(g.last) > g.Limit
 	g.last = now
 	return paused
 }
 
-// Paused reports whether the process has been paused since the last tick,
-// without taking the tick.
+// Paused reports whether the process was paused since the last tick, without recording a tick.
 func (g *Guard) Paused(now time.Time) bool {
 	return !g.last.IsZero() && now.Sub(g.last) > g.Limit
 }
--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -20,20 +20,20 @@
 
 var _ = Describe("leases", func() {
 	start := time.Now()
-	It("end for their holder before they can end for others", func() {
+	It("expire for their holder before they expire for others", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			length := time.Duration(rapid.IntRange(1, 60000).Draw(t, "ms")) * time.Millisecond
-			// The worker takes renewals in while the lease before holds; the
-			// last one may be under way for up to a length. Its clock may be
-			// slow by a little less than the margin allows for.
+			// The worker accepts renewals while the previous lease is valid, so
+			// the last one may be in transit for up to one length. The worker's
+			// clock may be slow by almost as much as the margin allows.
 			travel := time.Duration(rapid.Int64Range(0, int64(length)).Draw(t, "travel"))
 			slow := rapid.Float64Range(1, 1.06).Draw(t, "slow")
 			ends := start.Add(time.Duration(float64(travel+length) * slow))
 			if over := lease.SurelyOver(start, length); over.Before(ends) {
-				t.Fatalf("said to be over %s early", ends.Sub(over))
+				t.Fatalf("reported as expired %s too early", ends.Sub(over))
 			}
 			if held := lease.Renew(start, length); held.Held(start.Add(length)) {
-				t.Fatalf("held for its whole length")
+				t.Fatalf("held for its whole length, without a margin")
 			}
 		})
 	})
