--- a/expiry/doc.go
+++ b/expiry/doc.go
@@ -1,18 +1,20 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package expiry removes from the platform's table what nobody needs any more.
+// Package expiry removes rows that are no longer needed from the platform's table.
 //
 // Every job, answer and request key leaves a row, and every start of an
-// instance leaves two; at the size to design for that is 30,000 rows a day.
-// When a job ends, the transaction that says so also writes an expiry row whose
-// key begins with the time at which the job may go; see job.Expiry. A Sweeper
-// reads these rows from the front, so that what it looks at is what it removes.
+// instance leaves two; at the intended scale that is 30,000 rows a day. The
+// transaction that records the end of a job also writes an expiry row whose key
+// begins with the time at which the job may be removed; see job.Expiry. A
+// Sweeper reads these rows in order of their keys, so that it reads only rows
+// that it removes.
 //
-// A removal is one transaction with a check on each row that it removes: two
-// sweepers at once, a job that went on, and a key that was used again are all
-// met by those checks, and a lost answer by the next pass. Objects go before
-// the rows that name them, so that none is left behind without a name.
+// A removal is one transaction with a check on each removed row. The checks
+// protect against concurrent sweepers, a job that was continued and a key that
+// was used again; a removal whose response was lost is repeated by the next
+// pass. Objects are deleted before the rows that name them, so that no object
+// is left without a reference.
 //
-// The rows of instances carry the time of their last use and go a day after it.
-// A row that its instance wants after all is written again.
+// The rows of instances contain the time of their last use and are removed a
+// day after it. An instance that still needs its row writes it again.
 package expiry
--- a/expiry/expiry.go
+++ b/expiry/expiry.go
@@ -16,12 +16,12 @@
 )
 
 const (
-	page = 100
-	// atOnce bounds the removals that wait for one transaction of the journal.
-	atOnce = 32
-	// instanceKeep is how long the rows of an instance stay after their last
-	// use. It is longer than regions are apart.
-	instanceKeep = 24 * time.Hour
+	pageRows = 100
+	// maxConcurrentRemovals bounds the removals that wait for one transaction of the journal.
+	maxConcurrentRemovals = 32
+	// instanceRetention is how long the rows of an instance are kept after their last use. It
+	// is longer than regions may be separated.
+	instanceRetention = 24 * time.Hour
 )
 
 // Journal commits changes; see commit.Journal.
@@ -29,7 +29,7 @@
 	Commit(ctx context.Context, c commit.Change) (uint64, error)
 }
 
-// Sweeper removes the rows of one hall that are due. Fill in all fields.
+// Sweeper removes the expired rows of one hall. All fields must be set.
 type Sweeper struct {
 	Hall    string
 	Table   ports.Table
@@ -37,13 +37,13 @@
 	Journal Journal
 }
 
-// Jobs removes the jobs and keys that are due at a time, and returns how many
-// expiry rows are settled. It ends when none is due, or with the first error of
-// the platform; what is left is for the next pass.
+// Jobs removes the jobs and request keys that have expired at the time now, and returns how
+// many expiry rows were removed. It stops when none is left, or with the first error of the
+// platform; the next pass continues.
 func (s *Sweeper) Jobs(ctx context.Context, now time.Time) (int, error) {
 	total := 0
 	for {
-		due, err := s.due(ctx, now)
+		due, err := s.dueRows(ctx, now)
 		if err != nil || len(due) == 0 {
 			return total, err
 		}
@@ -55,9 +55,9 @@
 	}
 }
 
-// due returns the first page of expiry rows that are due.
-func (s *Sweeper) due(ctx context.Context, now time.Time) ([]ports.Row, error) {
-	rows, err := s.Table.Scan(ctx, job.ExpiryPrefix(s.Hall), "", page)
+// dueRows returns the first page of expiry rows that are due.
+func (s *Sweeper) dueRows(ctx context.Context, now time.Time) ([]ports.Row, error) {
+	rows, err := s.Table.Scan(ctx, job.ExpiryPrefix(s.Hall), "", pageRows)
 	if err != nil {
 		return nil, err
 	}
@@ -70,16 +70,16 @@
 	return rows, nil
 }
 
-// removeAll removes what a page of expiry rows names, and returns how many of
-// them are gone. Those whose rows changed meanwhile stay for the next pass.
+// removeAll removes what a page of expiry rows names, and returns how many of them were
+// removed. Those whose rows were changed concurrently are left for the next pass.
 func (s *Sweeper) removeAll(ctx context.Context, due []ports.Row, now time.Time) (int, error) {
 	var group errgroup.Group
-	group.SetLimit(atOnce)
-	gone := make([]bool, len(due))
+	group.SetLimit(maxConcurrentRemovals)
+	removed := make([]bool, len(due))
 	for i, row := range due {
 		group.Go(func() error {
 			err := s.remove(ctx, row, now)
-			gone[i] = err == nil
+			removed[i] = err == nil
 			if kind.Is(err, kind.Conflict) {
 				return nil
 			}
@@ -88,7 +88,7 @@
 	}
 	err := group.Wait()
 	n := 0
-	for _, ok := range gone {
+	for _, ok := range removed {
 		if ok {
 			n++
 		}
@@ -106,26 +106,27 @@
 		return err
 	}
 	var c commit.Change
-	drop(&c, row)
-	if err := s.dropJob(ctx, &c, e, rows[0], now); err != nil {
+	addRemoval(&c, row)
+	if err := s.addJobRemoval(ctx, &c, e, rows[0], now); err != nil {
 		return err
 	}
-	if keyOf(e, rows[1]) {
-		drop(&c, rows[1])
+	if keyMatches(e, rows[1]) {
+		addRemoval(&c, rows[1])
 	}
 	_, err = s.Journal.Commit(ctx, c)
 	return err
 }
 
-// drop adds the removal of a row as it was read.
-func drop(c *commit.Change, row ports.Row) {
+// addRemoval adds the removal of a row to c, on condition that it has not changed since it was
+// read.
+func addRemoval(c *commit.Change, row ports.Row) {
 	c.Checks = append(c.Checks, ports.Check{Key: row.Key, Version: row.Version})
 	c.Puts = append(c.Puts, ports.Put{Key: row.Key, Delete: true})
 }
 
-// dropJob adds the removal of a job that is over and due, and removes its
-// objects.
-func (s *Sweeper) dropJob(ctx context.Context, c *commit.Change, e job.Expiry, row ports.Row, now time.Time) error {
+// addJobRemoval deletes the objects of a job that has ended and expired, and adds the removal
+// of its row to c.
+func (s *Sweeper) addJobRemoval(ctx context.Context, c *commit.Change, e job.Expiry, row ports.Row, now time.Time) error {
 	if e.ID == "" || row.Version == 0 {
 		return nil
 	}
@@ -144,13 +145,12 @@
 			return err
 		}
 	}
-	drop(c, row)
+	addRemoval(c, row)
 	return nil
 }
 
-// keyOf reports whether the row of a request key is the one that an expiry
-// speaks of.
-func keyOf(e job.Expiry, row ports.Row) bool {
+// keyMatches reports whether the row of a request key is the one that an expiry row refers to.
+func keyMatches(e job.Expiry, row ports.Row) bool {
 	if e.Key == "" || row.Version == 0 {
 		return false
 	}
@@ -161,21 +161,21 @@
 	return k.ID == e.ID && (e.ID != "" || k.Refused)
 }
 
-// Instances removes the rows of instances that were not used for a day, and
-// returns how many.
+// Instances removes the rows of instances that were not used for instanceRetention, and returns
+// how many were removed.
 func (s *Sweeper) Instances(ctx context.Context, now time.Time) (int, error) {
-	members, err := s.old(ctx, hall.MemberPrefix(s.Hall), hall.MemberSeen, now)
+	members, err := s.unusedRows(ctx, hall.MemberPrefix(s.Hall), hall.MemberSeen, now)
 	if err != nil {
 		return 0, err
 	}
-	journals, err := s.old(ctx, commit.Prefix(s.Hall), commit.Used, now)
+	journals, err := s.unusedRows(ctx, commit.Prefix(s.Hall), commit.Used, now)
 	if err != nil {
 		return 0, err
 	}
 	removed := 0
 	for _, row := range append(members, journals...) {
 		var c commit.Change
-		drop(&c, row)
+		addRemoval(&c, row)
 		_, err := s.Journal.Commit(ctx, c)
 		switch {
 		case err == nil:
@@ -187,18 +187,18 @@
 	return removed, nil
 }
 
-// old returns the rows with a prefix that were last used more than a day ago.
-// A row that does not tell is left alone.
-func (s *Sweeper) old(ctx context.Context, prefix string, used func([]byte) (time.Time, bool), now time.Time) ([]ports.Row, error) {
+// unusedRows returns the rows with a prefix that were last used more than instanceRetention
+// ago. A row whose last use is unknown is not returned.
+func (s *Sweeper) unusedRows(ctx context.Context, prefix string, used func([]byte) (time.Time, bool), now time.Time) ([]ports.Row, error) {
 	var out []ports.Row
 	after := ""
 	for {
-		rows, err := s.Table.Scan(ctx, prefix, after, page)
+		rows, err := s.Table.Scan(ctx, prefix, after, pageRows)
 		if err != nil || len(rows) == 0 {
 			return out, err
 		}
 		for _, row := range rows {
-			if at, ok := used(row.Value); ok && now.Sub(at) > instanceKeep {
+			if at, ok := used(row.Value); ok && now.Sub(at) > instanceRetention {
 				out = append(out, row)
 			}
 		}
--- a/expiry/expiry_test.go
+++ b/expiry/expiry_test.go
@@ -27,20 +27,22 @@
 	RunSpecs(t, "expiry")
 }
 
-// objects is an object store in which deletes can fail.
-type objects struct {
+// fakeObjects is an object store whose deletes fail while down is set.
+type fakeObjects struct {
 	standin.Objects
 	down bool
 }
 
-func (o *objects) PutObject(_ context.Context, key string, body []byte) error {
+func (o *fakeObjects) PutObject(_ context.Context, key string, body []byte) error {
 	o.Put(key, body)
 	return nil
 }
 
-func (o *objects) GetObject(_ context.Context, key string) ([]byte, error) { return o.Get(key), nil }
+func (o *fakeObjects) GetObject(_ context.Context, key string) ([]byte, error) {
+	return o.Get(key), nil
+}
 
-func (o *objects) DeleteObject(_ context.Context, key string) error {
+func (o *fakeObjects) DeleteObject(_ context.Context, key string) error {
 	if o.down {
 		return kind.New(kind.Unavailable, "test")
 	}
@@ -50,11 +52,11 @@
 
 var _ = Describe("a sweeper", func() {
 	var table *standin.Local
-	var store *objects
+	var store *fakeObjects
 	var s *expiry.Sweeper
 	now := time.Date(2026, 3, 1, 3, 0, 0, 0, time.UTC)
 	BeforeEach(func() {
-		table, store = standin.NewLocal(), &objects{}
+		table, store = standin.NewLocal(), &fakeObjects{}
 		j := commit.New(table, "h", "sweeper/boot")
 		ctx, cancel := context.WithCancel(context.Background())
 		DeferCleanup(cancel)
@@ -62,7 +64,7 @@
 		s = &expiry.Sweeper{Hall: "h", Table: table, Objects: store, Journal: j}
 	})
 	put := func(puts ...ports.Put) { table.Table.Commit(ports.Txn{Puts: puts}) }
-	// add writes a job as its owner does.
+	// add writes the rows and the object of a job as its owner does.
 	add := func(id string, state job.State, expires time.Time) {
 		row := job.Job{ID: id, Shop: "s", Key: "k-" + id, Hall: "h", State: state, Expires: &expires, AnswerObject: "answer/" + id}
 		store.Put(row.AnswerObject, []byte("x"))
@@ -80,7 +82,7 @@
 		return out
 	}
 
-	It("removes what is due with its key and objects, page by page, and nothing else", func(ctx context.Context) {
+	It("removes expired jobs with their keys and objects, page by page, and nothing else", func(ctx context.Context) {
 		for i := range 250 {
 			add(fmt.Sprintf("due-%03d", i), job.Done, now.Add(-time.Duration(i+1)*time.Second))
 		}
@@ -99,7 +101,7 @@
 		Expect(store.Keys()).To(ConsistOf("answer/later"))
 	})
 
-	It("leaves a job that is not over, and a key that stands for another request", func(ctx context.Context) {
+	It("keeps a job that has not ended, and a key that belongs to another request", func(ctx context.Context) {
 		add("runs", job.Unknown, now.Add(-time.Hour))
 		add("over", job.Done, now.Add(-time.Hour))
 		put(ports.Put{Key: job.KeyRow("s", "k-over"), Value: job.Encode(job.Key{ID: "another"})})
@@ -108,7 +110,7 @@
 		Expect(keys()).To(ConsistOf(job.RowKey("runs"), job.KeyRow("s", "k-over")))
 	})
 
-	It("keeps the rows while the objects that they name cannot be removed", func(ctx context.Context) {
+	It("keeps the rows while their objects cannot be deleted", func(ctx context.Context) {
 		add("a", job.Done, now.Add(-time.Hour))
 		store.down = true
 		_, err := s.Jobs(ctx, now)
@@ -121,7 +123,7 @@
 		Expect(keys()).To(BeEmpty())
 	})
 
-	It("removes nothing that changes while it looks", func(ctx context.Context) {
+	It("removes nothing that is changed concurrently", func(ctx context.Context) {
 		add("a", job.Done, now.Add(-time.Hour))
 		changed := false
 		table.Set(func(l *standin.Local) {
