--- a/retry/retry_test.go
+++ b/retry/retry_test.go
@@ -15,18 +15,18 @@
 type outageStats struct {
 	// tries is how often a caller tried, on average.
 	tries float64
-	// most is the longest time from the end of the outage to the return of a caller, and
-	// busiest the highest number of callers that returned within a tenth of a second, less the
-	// number of new callers in that time.
-	most    time.Duration
-	busiest int
+	// longestReturn is the longest time from the end of the outage to the return of a
+	// caller, and peakReturns the highest number of callers that returned within a tenth of
+	// a second, less the number of new callers in that time.
+	longestReturn time.Duration
+	peakReturns   int
 }
 
 // lateShare returns the share of late callers among those that arrive in the last quarter of a
 // second of an outage. Each caller waits for the end, is then refused and returns when it is
 // told to; it is late if it is served half a second or more after the end.
 func lateShare(length, wait time.Duration, rate int) float64 {
-	late, came := 0, 0
+	late, arrived := 0, 0
 	for i := range int(length.Seconds() * float64(rate)) {
 		begun := time.Duration(i) * time.Second / time.Duration(rate)
 		if begun < length-Patience {
@@ -36,17 +36,17 @@
 		for at+wait < length {
 			at += wait + After(at+wait, fmt.Sprintf("%016x", i*2654435761))
 		}
-		came++
+		arrived++
 		if max(at, length)-length >= time.Second/2 {
 			late++
 		}
 	}
-	return float64(late) / float64(came)
+	return float64(late) / float64(arrived)
 }
 
 // simulateOutage simulates an outage in which rate new callers arrive per second. Each of them
 // returns when it is told to.
-func simulateOutage(length time.Duration, rate int, after func(age time.Duration, key string) time.Duration) outageStats {
+func simulateOutage(length time.Duration, rate int, delay func(age time.Duration, key string) time.Duration) outageStats {
 	var out outageStats
 	returns := make(map[int]int)
 	callers := int(length.Seconds()) * rate
@@ -54,15 +54,15 @@
 		at := length * time.Duration(i) / time.Duration(callers)
 		tries := 1
 		for at < length {
-			at += after(at, fmt.Sprintf("%016x", i*2654435761))
+			at += delay(at, fmt.Sprintf("%016x", i*2654435761))
 			tries++
 		}
 		out.tries += float64(tries) / float64(callers)
-		out.most = max(out.most, at-length)
+		out.longestReturn = max(out.longestReturn, at-length)
 		returns[int((at-length)/(100*time.Millisecond))]++
 	}
 	for _, n := range returns {
-		out.busiest = max(out.busiest, n-rate/10)
+		out.peakReturns = max(out.peakReturns, n-rate/10)
 	}
 	return out
 }
@@ -71,27 +71,27 @@
 
 func TestShortOutageUsesTheMinimumDelay(t *testing.T) {
 	g := NewWithT(t)
-	now, before := simulateOutage(time.Second, 100, After), simulateOutage(time.Second, 100, fixedDelay)
-	g.Expect(now).To(Equal(before))
+	got, fixed := simulateOutage(time.Second, 100, After), simulateOutage(time.Second, 100, fixedDelay)
+	g.Expect(got).To(Equal(fixed))
 }
 
 func TestLongOutageHasFewRetriesThatAreSpread(t *testing.T) {
 	g := NewWithT(t)
 	for _, length := range []time.Duration{10 * time.Second, 30 * time.Second, 2 * time.Minute} {
-		now, before := simulateOutage(length, 100, After), simulateOutage(length, 100, fixedDelay)
-		t.Logf("%v: %+v, each after a second %+v", length, now, before)
-		g.Expect(now.tries).To(BeNumerically("<", before.tries*0.65))
-		g.Expect(now.most).To(BeNumerically("<=", min(length, Most)))
-		g.Expect(now.busiest).To(BeNumerically("<", before.busiest))
+		got, fixed := simulateOutage(length, 100, After), simulateOutage(length, 100, fixedDelay)
+		t.Logf("%v: %+v, each after a second %+v", length, got, fixed)
+		g.Expect(got.tries).To(BeNumerically("<", fixed.tries*0.65))
+		g.Expect(got.longestReturn).To(BeNumerically("<=", min(length, Most)))
+		g.Expect(got.peakReturns).To(BeNumerically("<", fixed.peakReturns))
 	}
 }
 
 func TestCallersThatArriveJustBeforeTheEndAreServedAtTheEnd(t *testing.T) {
 	g := NewWithT(t)
 	for _, length := range []time.Duration{time.Second / 2, 4 * time.Second, 20 * time.Second} {
-		at, waited := lateShare(length, 0, 100), lateShare(length, Wait(time.Minute, 0), 100)
-		t.Logf("%v: late %.2f refused at once, %.2f after a wait", length, at, waited)
-		g.Expect(at).To(Equal(1.0))
+		refused, waited := lateShare(length, 0, 100), lateShare(length, Wait(time.Minute, 0), 100)
+		t.Logf("%v: late %.2f refused at once, %.2f after a wait", length, refused, waited)
+		g.Expect(refused).To(Equal(1.0))
 		g.Expect(waited).To(BeZero())
 	}
 }
@@ -112,12 +112,12 @@
 
 func TestDelayIsDeterministicAndSpreadByKey(t *testing.T) {
 	g := NewWithT(t)
-	var told []time.Duration
+	var delays []time.Duration
 	for i := range 100 {
 		key := fmt.Sprint(i)
 		g.Expect(After(10*time.Second, key)).To(Equal(After(10*time.Second, key)))
-		told = append(told, After(10*time.Second, key))
+		delays = append(delays, After(10*time.Second, key))
 	}
-	g.Expect(slices.Max(told)-slices.Min(told)).To(BeNumerically(">", 4*time.Second), "spread")
-	g.Expect(slices.Min(told)).To(BeNumerically(">=", 5*time.Second))
+	g.Expect(slices.Max(delays)-slices.Min(delays)).To(BeNumerically(">", 4*time.Second), "spread")
+	g.Expect(slices.Min(delays)).To(BeNumerically(">=", 5*time.Second))
 }
--- a/upkeep/runner.go
+++ b/upkeep/runner.go
@@ -52,9 +52,9 @@
 
 // Cell is the cell that owns the workers.
 type Cell interface {
-	// Empty drains exactly these workers, each for at most patience from the first call that
+	// Empty drains exactly these workers, each for at most limit from the first call that
 	// names it.
-	Empty(workers []string, patience time.Duration)
+	Empty(workers []string, limit time.Duration)
 	// Emptied reports whether a worker is drained and its machine may be taken down.
 	Emptied(worker string) bool
 	// Life returns the start time of the newest known incarnation of a worker, 0 if it is
