--- a/cluster/accept.go
+++ b/cluster/accept.go
@@ -21,67 +21,68 @@
 )
 
 const (
-	// acceptTime bounds the keeping of a job.
-	acceptTime = 2200 * time.Millisecond
-	// acceptLook is how long the store may be without an answer before it is
-	// asked whether it has the job.
-	acceptLook = 150 * time.Millisecond
-	// acceptLookTime bounds that question as that for a cell lease is, so that the write is
-	// sent again, on another connection, well within acceptTime.
-	acceptLookTime = 4 * acceptLook
-	acceptRetry    = 60 * time.Millisecond
-	// awaitEvery spaces the looks of a caller that waits for the store: a few milliseconds
+	// acceptTimeout limits the time for storing a submitted job.
+	acceptTimeout = 2200 * time.Millisecond
+	// acceptCheckInterval is how long the write of a job may go unanswered before the store is asked
+	// whether it has the job.
+	acceptCheckInterval = 150 * time.Millisecond
+	// acceptCheckTimeout limits that check, in the same proportion as for a cell lease, so that the
+	// write is sent again on another connection well within acceptTimeout.
+	acceptCheckTimeout = 4 * acceptCheckInterval
+	acceptRetryPause   = 60 * time.Millisecond
+	// awaitInterval is how often a caller that waits for the store checks again: a few milliseconds
 	// of the quarter of a second that it waits.
-	awaitEvery = 10 * time.Millisecond
-	// tellTime bounds the telling of a cell's owner; the owner finds the job by
-	// itself later.
-	tellTime  = 4 * time.Second
-	tellOnce  = 400 * time.Millisecond
-	tellRetry = 80 * time.Millisecond
+	awaitInterval = 10 * time.Millisecond
+	// notifyTimeout limits the attempts to notify the owner of a cell; later the owner finds the job
+	// in the store itself.
+	notifyTimeout        = 4 * time.Second
+	notifyAttemptTimeout = 400 * time.Millisecond
+	notifyRetryPause     = 80 * time.Millisecond
 )
 
-// Submit keeps a job in the store and tells the owner of its cell. It returns
-// nil also if the job was kept before. Errors are of kind Unavailable (not
-// taken, and never runs) or Lost. It needs the store and no owner: a job that
-// comes while a cell changes hands waits in the store.
+// Submit stores a job and notifies the owner of its cell. It also returns nil if the job was stored
+// before. Errors are of kind Unavailable (the job was not accepted and never runs), KeyReused (the id
+// belongs to another client account) or Lost (not known whether it was accepted). Submit needs the
+// store but no owner: a job that is submitted while its cell changes owners waits in the store.
 func (n *Instance) Submit(ctx context.Context, spec *flow.Spec) error {
-	ctx, cancel := context.WithTimeout(ctx, acceptTime)
+	ctx, cancel := context.WithTimeout(ctx, acceptTimeout)
 	defer cancel()
 	if !n.awaitStore(ctx) {
+		// The job has ended, or its owner finds it by itself.
 		return n.refuse(spec.ID, "the store is not reached")
 	}
-	cell := n.choose(spec)
+	cell := n.chooseCell(spec)
 	if cell == "" {
 		return n.refuse(spec.ID, "the cells are not known yet")
 	}
 	begun := clock.Now()
 	spec.AcceptedMS = clock.Wall().UnixMilli()
-	spec.Hall = n.hallFor(cell, spec.ID)
-	spec.Shares = n.division.shares(spec, cell)
-	k, err := n.keep(ctx, cell, spec)
+	spec.Hall = n.startHall(cell, spec.ID)
+	spec.Shares = n.division.sharedWith(spec, cell)
+	k, err := n.storeJob(ctx, cell, spec)
 	if err != nil {
 		level.Info(n.kit.Log).Log("event", "not_kept", "job", spec.ID, "cell", cell, "err", err, "last", true)
 		n.kit.Scope.Counter("jobs_not_kept_total").Inc(1)
 		return err
 	}
-	if !k.written && n.isForeign(ctx, spec) {
-		level.Info(n.kit.Log).Log("event", "refused", "job", spec.ID, "account", spec.Account, "why", "the id is another account's", "last", true)
+	if !k.written && n.isOtherAccounts(ctx, spec) {
+		level.Info(n.kit.Log).Log("event", "refused", "job", spec.ID, "account", spec.Account, "why", "the id belongs to another client account", "last", true)
 		return kind.New(kind.KeyReused, "the id belongs to a job of another client account")
 	}
 	level.Info(n.kit.Log).Log("event", "accepted", "job", spec.ID, "queue", spec.Queue, "account", spec.Account, "config", n.config.Version(), "cell", k.cells[0], "cells", len(k.cells), "fresh", k.fresh, "version", k.ver, "took_ms", clock.Since(begun).Milliseconds())
 	n.kit.Scope.Counter("jobs_accepted_total").Inc(1)
 	n.kit.Scope.Histogram("accept_seconds", telemetry.Latency()).RecordDuration(clock.Since(begun))
-	n.homes.set(spec.ID, k.cells)
-	// The same write may have gone two ways, and the answer may be that of the
-	// second: the owner is told in any case.
-	go n.announce(k, spec)
+	n.jobCells.set(spec.ID, k.cells)
+	// The same write may have been sent twice, and this answer may be that of the second one:
+	// the owner is notified in any case.
+	go n.notifyOwners(k, spec)
 	return nil
 }
 
-// isForeign reports whether the job that the store has under the id of spec is known to be another
-// account's.
-func (n *Instance) isForeign(ctx context.Context, spec *flow.Spec) bool {
-	row, err := n.row(ctx, driver.SpecKey(spec.ID))
+// isOtherAccounts reports whether the job that the store has under the id of spec is known to belong
+// to another client account.
+func (n *Instance) isOtherAccounts(ctx context.Context, spec *flow.Spec) bool {
+	row, err := n.readJobRow(ctx, driver.SpecKey(spec.ID))
 	if err != nil || row.Ver == 0 {
 		return false
 	}
@@ -89,14 +90,14 @@
 	return err == nil && kept.Account != "" && kept.Account != spec.Account
 }
 
-// announce tells the owner of a cell of a job as the store has it. Another write may
-// have been first, with another hall: were the owner told of this one, it would start
-// tasks where the next owner does not look for them.
-func (n *Instance) announce(k kept, spec *flow.Spec) {
-	ctx, cancel := context.WithTimeout(context.Background(), tellTime)
+// notifyOwners sends a job, as the store has it, to the owners of its cells. Another write of the
+// same job may have won, with another start hall: if the owner got this one, it would start tasks
+// where the next owner does not look for them.
+func (n *Instance) notifyOwners(k storedJob, spec *flow.Spec) {
+	ctx, cancel := context.WithTimeout(context.Background(), notifyTimeout)
 	defer cancel()
 	if !k.written {
-		row, err := n.row(ctx, driver.SpecKey(spec.ID))
+		row, err := n.readJobRow(ctx, driver.SpecKey(spec.ID))
 		if err != nil || row.Ver == 0 {
 			// It is over, or its owner finds it by itself.
 			return
@@ -108,18 +109,18 @@
 	}
 	var told sync.WaitGroup
 	for _, cell := range k.cells {
-		told.Go(func() { n.tell(ctx, cell, k.ver, spec) })
+		told.Go(func() { n.notifyOwner(ctx, cell, k.ver, spec) })
 	}
 	told.Wait()
 }
 
-// awaitStore reports whether the store is reached, for which a caller waits for a moment.
+// awaitStore waits a moment for the store to be reachable, and reports whether it is.
 func (n *Instance) awaitStore(ctx context.Context) bool {
 	if n.storeClient.Reachable() {
 		return true
 	}
-	others := n.waiting.Add(1) - 1
-	defer n.waiting.Add(-1)
+	others := n.waitingCallers.Add(1) - 1
+	defer n.waitingCallers.Add(-1)
 	by, _ := ctx.Deadline()
 	ctx, cancel := context.WithTimeout(ctx, retry.Wait(clock.Until(by), int(others)))
 	defer cancel()
@@ -127,55 +128,55 @@
 		if n.storeClient.Reachable() {
 			return true
 		}
-		sleep(ctx, awaitEvery)
+		sleep(ctx, awaitInterval)
 	}
 	return n.storeClient.Reachable()
 }
 
-// refuse returns the answer for a job that is not taken.
+// refuse logs and counts a job that is not accepted, and returns the error for its caller.
 func (n *Instance) refuse(id, why string) error {
 	level.Info(n.kit.Log).Log("event", "refused", "job", id, "why", why, "last", true)
 	n.kit.Scope.Counter("jobs_refused_total").Inc(1)
-	return kind.New(kind.Unavailable, why).After(n.comeBack(id))
+	return kind.New(kind.Unavailable, why).After(n.retryAfter(id))
 }
 
-// comeBack returns when a caller that is refused now, with a job, should come back.
-func (n *Instance) comeBack(id string) time.Duration {
+// retryAfter returns after what time a caller that is refused now should retry. id spreads the
+// retries of several callers.
+func (n *Instance) retryAfter(id string) time.Duration {
 	return retry.After(n.storeClient.Silence(), id)
 }
 
-// choose returns the cell for a job: the least loaded one, or one by lot while
-// no owner is heard, "" while the cells are not known.
-func (n *Instance) choose(spec *flow.Spec) string {
-	if p := n.places(spec); len(p) > 0 {
-		n.members.sent(p[0].name, spec.Work().Milliseconds())
+// chooseCell returns the least loaded cell for a job, or one chosen by hash while no owner is heard.
+// It returns "" while the cells are not known.
+func (n *Instance) chooseCell(spec *flow.Spec) string {
+	if p := n.candidates(spec); len(p) > 0 {
+		n.members.addSentWork(p[0].name, spec.Work().Milliseconds())
 		return p[0].cell
 	}
-	return n.division.draw(spec.ID)
+	return n.division.hashCell(spec.ID)
 }
 
-// hallFor returns the hall in which a job may start without more ado: drawn by the
-// room that its cell has free in each, or the own one, which surely is not cut
-// off, while the cell's owner is not heard.
-func (n *Instance) hallFor(cell, id string) string {
-	if d := n.own(cell); d != nil {
+// startHall returns the hall in which a job may start at once, without further checks. It is drawn
+// with a probability in proportion to the room that the cell has free in each hall. While the cell's
+// owner is not heard it is the own hall, which is certainly not cut off.
+func (n *Instance) startHall(cell, id string) string {
+	if d := n.ownDriver(cell); d != nil {
 		load := d.Load()
 		return cmp.Or(drawHall(hallRooms(load), id), n.settings.Hall)
 	}
 	now := clock.Now()
 	for _, o := range n.members.cells(now) {
-		if o.cell.Name == cell && now.Sub(o.heard) < hallSilence {
+		if o.cell.Name == cell && now.Sub(o.heardAt) < hallRoomTTL {
 			return cmp.Or(drawHall(o.cell.Halls, id), n.settings.Hall)
 		}
 	}
 	return n.settings.Hall
 }
 
-// hallSilence is how long an owner may not have been heard before what it said of
-// its halls is not relied on.
-const hallSilence = 450 * time.Millisecond
+// hallRoomTTL is how long an owner's report of the free room of its halls is used.
+const hallRoomTTL = 450 * time.Millisecond
 
-// drawHall draws a hall by lot, each as often as it has free room.
+// drawHall draws a hall by a hash of id, each with a probability in proportion to its free room.
 func drawHall(halls []*wire.HallRoom, id string) string {
 	var sum int64
 	for _, h := range halls {
@@ -184,7 +185,7 @@
 	if sum <= 0 {
 		return ""
 	}
-	at := int64(draw(id)) % sum
+	at := int64(hash32(id)) % sum
 	for _, h := range halls {
 		if at -= h.Free; at < 0 {
 			return h.Name
@@ -193,18 +194,18 @@
 	return ""
 }
 
-// kept is what became of a job that was handed in: the cells that run it, its own first, the
-// version at which the store took it, whether it was new, and whether the store has
-// it for certain as this write says.
-type kept struct {
+// storedJob is the result of storing a job: the cells that run it, its home cell first; the version
+// at which the store took it; whether it may be new; and whether this write is known to have stored
+// it.
+type storedJob struct {
 	cells   []string
 	ver     uint64
 	fresh   bool
 	written bool
 }
 
-// keep writes a job on the condition that no cell has it.
-func (n *Instance) keep(ctx context.Context, cell string, spec *flow.Spec) (kept, error) {
+// storeJob writes a job on the condition that no cell has it.
+func (n *Instance) storeJob(ctx context.Context, cell string, spec *flow.Spec) (storedJob, error) {
 	spec.Cell = cell
 	home := driver.HomeKey(spec.ID)
 	t := rows.Tx{
@@ -216,33 +217,33 @@
 	}
 	uncertain := false
 	for {
-		res, err := n.sendKeep(ctx, home, t)
+		res, err := n.sendJobTx(ctx, home, t)
 		switch {
 		case err == nil && !res.Refused:
-			return kept{cells: spec.Cells(), ver: res.Ver, fresh: true, written: true}, nil
+			return storedJob{cells: spec.Cells(), ver: res.Ver, fresh: true, written: true}, nil
 		case err == nil:
-			// Some cell has it, by this write or by an earlier one.
-			return keptBy(res, home, kept{cells: spec.Cells(), fresh: uncertain}), nil
+			// Some cell has the job, by this write or by an earlier one.
+			return withStoredCells(res, home, storedJob{cells: spec.Cells(), fresh: uncertain}), nil
 		case !kind.Is(err, kind.Unavailable):
 			uncertain = true
 			if !n.storeClient.Reachable() {
-				return kept{}, kind.Of(err).Uncertain(spec.ID)
+				return storedJob{}, kind.Of(err).Uncertain(spec.ID)
 			}
 		case !uncertain && !n.storeClient.Reachable():
-			return kept{}, kind.Of(err).After(n.comeBack(spec.ID))
+			return storedJob{}, kind.Of(err).After(n.retryAfter(spec.ID))
 		}
-		sleep(ctx, acceptRetry)
+		sleep(ctx, acceptRetryPause)
 		if ctx.Err() != nil && !uncertain {
-			return kept{}, kind.New(kind.Unavailable, "the store takes no writes now").After(n.comeBack(spec.ID))
+			return storedJob{}, kind.New(kind.Unavailable, "the store accepts no writes at present").After(n.retryAfter(spec.ID))
 		}
 		if ctx.Err() != nil {
-			return kept{}, kind.New(kind.Lost, "the store has not answered").Uncertain(spec.ID)
+			return storedJob{}, kind.New(kind.Lost, "the store has not answered").Uncertain(spec.ID)
 		}
 	}
 }
 
-// keptBy completes k by the home of a job that was there before.
-func keptBy(res rows.Result, home rows.Key, k kept) kept {
+// withStoredCells completes k from the home row of a job that was stored before.
+func withStoredCells(res rows.Result, home rows.Key, k storedJob) storedJob {
 	for _, row := range res.Rows {
 		if cells := driver.HomeCells(row.Value); row.Key == home && len(cells) > 0 {
 			k.cells, k.ver = cells, row.Ver
@@ -251,24 +252,23 @@
 	return k
 }
 
-// sendKeep sends the write once. While there is no answer it asks whether the
-// job is there.
-func (n *Instance) sendKeep(ctx context.Context, home rows.Key, t rows.Tx) (rows.Result, error) {
+// sendJobTx sends the write once. While there is no answer it checks whether the job is stored.
+func (n *Instance) sendJobTx(ctx context.Context, home rows.Key, t rows.Tx) (rows.Result, error) {
 	send := rows.Attempt{
-		Store: n.storeClient, Tx: t, Every: acceptLook, Limit: n.storeClient.Patience(),
-		Look: func(ctx context.Context) (rows.Result, bool, error) { return n.lookKept(ctx, home) },
+		Store: n.storeClient, Tx: t, Every: acceptCheckInterval, Limit: n.storeClient.Patience(),
+		Look: func(ctx context.Context) (rows.Result, bool, error) { return n.checkJobStored(ctx, home) },
 	}
 	res, _, err := send.Send(ctx)
 	return res, err
 }
 
-// lookKept asks whether a job is there, and reports whether there is no point in
-// waiting for the answer of the write that keeps it.
-func (n *Instance) lookKept(ctx context.Context, home rows.Key) (rows.Result, bool, error) {
+// checkJobStored asks the store for a job, and reports whether it is pointless to wait longer for
+// the answer of the write that stores it.
+func (n *Instance) checkJobStored(ctx context.Context, home rows.Key) (rows.Result, bool, error) {
 	if !n.storeClient.Reachable() {
 		return rows.Result{}, true, kind.New(kind.Lost, "the store is not reached any more")
 	}
-	ctx, cancel := context.WithTimeout(ctx, acceptLookTime)
+	ctx, cancel := context.WithTimeout(ctx, acceptCheckTimeout)
 	defer cancel()
 	page, err := n.storeClient.Get(ctx, rows.Only(home))
 	if err == nil && page.One().Ver > 0 {
@@ -277,27 +277,27 @@
 	return rows.Result{}, false, nil
 }
 
-// tell tells the owner of a cell of a job until it has heard, or ctx ends.
-func (n *Instance) tell(ctx context.Context, cell string, ver uint64, spec *flow.Spec) {
+// notifyOwner sends a job to the owner of a cell until that has it or ctx ends.
+func (n *Instance) notifyOwner(ctx context.Context, cell string, ver uint64, spec *flow.Spec) {
 	raw := flow.Encode(spec)
 	for ctx.Err() == nil {
-		if n.tellOnce(ctx, cell, ver, spec, raw) == nil {
+		if n.notifyOwnerOnce(ctx, cell, ver, spec, raw) == nil {
 			return
 		}
-		sleep(ctx, tellRetry)
+		sleep(ctx, notifyRetryPause)
 	}
 	level.Warn(n.kit.Log).Log("event", "owner_not_told", "job", spec.ID, "cell", cell)
 }
 
-func (n *Instance) tellOnce(ctx context.Context, cell string, ver uint64, spec *flow.Spec, raw []byte) error {
-	if d := n.own(cell); d != nil {
+func (n *Instance) notifyOwnerOnce(ctx context.Context, cell string, ver uint64, spec *flow.Spec, raw []byte) error {
+	if d := n.ownDriver(cell); d != nil {
 		return d.Adopt(spec, ver)
 	}
 	o := n.members.owner(cell, clock.Now())
 	if o == nil {
-		return kind.New(kind.Unavailable, "the cell's owner is not heard")
+		return kind.New(kind.Unavailable, "no owner of the cell is known")
 	}
-	ctx, cancel := context.WithTimeout(ctx, tellOnce)
+	ctx, cancel := context.WithTimeout(ctx, notifyAttemptTimeout)
 	defer cancel()
 	_, err := n.dialer.Do(ctx, o.addr, &wire.Request{Body: &wire.Request_SubmitJob{
 		SubmitJob: &wire.JobSubmit{Cell: cell, Spec: raw, Ver: ver},
--- a/cluster/accept_test.go
+++ b/cluster/accept_test.go
@@ -16,10 +16,10 @@
 	"dewpass.org/wire"
 )
 
-var _ = Describe("the hall of a job", func() {
+var _ = Describe("the start hall of a job", func() {
 	halls := []*wire.HallRoom{{Name: "a", Free: 1000}, {Name: "full"}, {Name: "b", Free: 3000}}
 
-	It("is drawn by the room that is free in each", func() {
+	It("is drawn in proportion to the free room of each hall", func() {
 		drawn := make(map[string]int)
 		for i := range 4000 {
 			drawn[drawHall(halls, fmt.Sprint(i))]++
@@ -29,45 +29,45 @@
 		Expect(drawHall(nil, "x")).To(BeEmpty())
 	})
 
-	It("is the own one while the cell's owner is not heard", func() {
-		n := testInstance(&policy{})
+	It("is the instance's own while the cell's owner is not heard", func() {
+		n := testInstance(&fakePolicy{})
 		g := &wire.Greeting{Instance: "owner", Hall: "other", Boot: "b", Addr: "o", Cells: []*wire.CellSummary{
 			{Name: "c", Halls: []*wire.HallRoom{{Name: "a", Free: 1}}},
 		}}
-		n.members.heard(g, time.Now())
-		Expect(n.hallFor("c", "x")).To(Equal("a"))
-		n.members.heard(g, time.Now().Add(-hallSilence))
-		Expect(n.hallFor("c", "x")).To(Equal("h"), "the owner's halls may be cut off")
+		n.members.applyGreeting(g, time.Now())
+		Expect(n.startHall("c", "x")).To(Equal("a"))
+		n.members.applyGreeting(g, time.Now().Add(-hallRoomTTL))
+		Expect(n.startHall("c", "x")).To(Equal("h"), "the owner's halls may be cut off")
 	})
 })
 
-// listener is the owner of a cell and keeps what it is told of.
-type listener struct{ told chan *flow.Spec }
+// ownerRecorder is the owner of a cell. It records the jobs that it is notified of.
+type ownerRecorder struct{ notified chan *flow.Spec }
 
-func (l listener) Handle(_ context.Context, req *wire.Request) *wire.Reply {
+func (l ownerRecorder) Handle(_ context.Context, req *wire.Request) *wire.Reply {
 	spec, err := flow.DecodeSpec(req.GetSubmitJob().GetSpec())
 	if err == nil {
-		l.told <- spec
+		l.notified <- spec
 	}
 	return &wire.Reply{}
 }
 
-// taken is a store that has every job already.
-type taken struct {
-	table
+// storeWithJob is a store that already has every job.
+type storeWithJob struct {
+	readOnlyStore
 	home rows.Key
 }
 
-func (t taken) Tx(context.Context, rows.Tx) (rows.Result, error) {
+func (t storeWithJob) Tx(context.Context, rows.Tx) (rows.Result, error) {
 	return rows.Result{Refused: true, Rows: []rows.Row{{Key: t.home, Value: []byte("cell-0"), Ver: 5}}}, nil
 }
 
-var _ = Describe("a job that is there already", func() {
-	It("is told of as the store has it, not as it was handed in again", func(ctx context.Context) {
+var _ = Describe("a job that is already stored", func() {
+	It("is sent to the owner as the store has it, not as it was submitted again", func(ctx context.Context) {
 		told := make(chan *flow.Spec, 1)
-		n := instanceWithOwner(listener{told})
+		n := instanceWithOwner(ownerRecorder{told})
 		stored := &flow.Spec{ID: "j", Hall: "first", Steps: []flow.Step{{Count: 1}}}
-		n.storeClient.Direct = taken{table{driver.SpecKey("j"): flow.Encode(stored)}, driver.HomeKey("j")}
+		n.storeClient.Direct = storeWithJob{readOnlyStore{driver.SpecKey("j"): flow.Encode(stored)}, driver.HomeKey("j")}
 		_, err := n.storeClient.Get(ctx, rows.Range{})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(n.Submit(ctx, &flow.Spec{ID: "j", Steps: []flow.Step{{Count: 1}}})).To(Succeed())
@@ -76,9 +76,9 @@
 		Expect(spec.Hall).To(Equal("first"))
 	})
 
-	It("is told of with the cell that has it and the version at which it was taken", func() {
+	It("is sent with the cell and the version that the store has", func() {
 		home := driver.HomeKey("j")
 		res := rows.Result{Refused: true, Rows: []rows.Row{{Key: home, Value: []byte("its"), Ver: 5}}}
-		Expect(keptBy(res, home, kept{cells: []string{"drawn"}})).To(Equal(kept{cells: []string{"its"}, ver: 5}))
+		Expect(withStoredCells(res, home, storedJob{cells: []string{"drawn"}})).To(Equal(storedJob{cells: []string{"its"}, ver: 5}))
 	})
 })
--- a/cluster/advise.go
+++ b/cluster/advise.go
@@ -15,55 +15,54 @@
 )
 
 const (
-	// adviseTries is how many instances are asked in turn to ask a question.
-	adviseTries = 3
-	// adviseSlack is added to the time that a peer should take for the answer.
-	adviseSlack = 250 * time.Millisecond
-	// askedWithin is how lately a peer must have been heard to be given a question.
-	// An owner greets all of them more often.
-	askedWithin = 700 * time.Millisecond
-	// shunTime is how long a peer that did not bring an answer is asked nothing.
-	// Without it the one that refuses connections would always be the one with
-	// the least to do.
-	shunTime = 1500 * time.Millisecond
+	// maxAdviceAttempts is how many instances are asked in turn to put a question to the policy.
+	maxAdviceAttempts = 3
+	// adviceSlack is added to the time within which a peer should return the answer.
+	adviceSlack = 250 * time.Millisecond
+	// peerMaxSilence is the longest silence after which a peer is still given questions or orders.
+	// Owners greet all peers more often than that.
+	peerMaxSilence = 700 * time.Millisecond
+	// failedPeerPause is how long a peer that failed to return an answer is given nothing. Without it
+	// a peer that refuses connections would always seem to be the least loaded one.
+	failedPeerPause = 1500 * time.Millisecond
 )
 
-// callers is how many questions to the policy may be under way at once.
-func (n *Instance) callers() int {
+// adviceConcurrency is how many questions to the policy may be in progress at once.
+func (n *Instance) adviceConcurrency() int {
 	now := clock.Now()
-	return 1 + len(n.members.list(now, func(k *member) bool { return k.asks(now) }))
+	return 1 + len(n.members.list(now, func(k *member) bool { return k.responsive(now) }))
 }
 
-// advise asks the policy, by the instance that will have the answer first, and by
-// another one if that brings none.
+// advise asks the policy through the instance that is expected to have the answer first, and through
+// another one if that fails.
 func (n *Instance) advise(ctx context.Context, a cell.Ask) (driver.Tickets, error) {
 	if n.Advisor == nil {
-		return driver.Tickets{}, kind.New(kind.Unavailable, "there is no policy service")
+		return driver.Tickets{}, kind.New(kind.Unavailable, "no policy service is configured")
 	}
 	for try := 1; ; try++ {
-		by := n.caller(&a)
+		by := n.adviceCaller(&a)
 		if by == nil {
 			return n.adviseSelf(ctx, a)
 		}
-		t, err := n.adviseBy(ctx, by, a)
-		if err == nil || try == adviseTries || ctx.Err() != nil {
+		t, err := n.adviseVia(ctx, by, a)
+		if err == nil || try == maxAdviceAttempts || ctx.Err() != nil {
 			return t, err
 		}
-		n.members.failed(by.name, clock.Now())
+		n.members.markFailed(by.name, clock.Now())
 	}
 }
 
 func (n *Instance) adviseSelf(ctx context.Context, a cell.Ask) (driver.Tickets, error) {
-	n.addAsking(a.Takes())
-	defer n.addAsking(-a.Takes())
+	n.addAdviceBacklog(a.Takes())
+	defer n.addAdviceBacklog(-a.Takes())
 	return n.Advisor.Advise(ctx, a.Step, a.Workers)
 }
 
-// adviseBy has a peer ask a question.
-func (n *Instance) adviseBy(ctx context.Context, by *member, a cell.Ask) (driver.Tickets, error) {
-	n.members.asks(by.name, a.Takes())
-	defer n.members.asks(by.name, -a.Takes())
-	ctx, cancel := context.WithTimeout(ctx, by.asking+2*a.Takes()+adviseSlack)
+// adviseVia has a peer put a question to the policy.
+func (n *Instance) adviseVia(ctx context.Context, by *member, a cell.Ask) (driver.Tickets, error) {
+	n.members.addAdviceBacklog(by.name, a.Takes())
+	defer n.members.addAdviceBacklog(by.name, -a.Takes())
+	ctx, cancel := context.WithTimeout(ctx, by.adviceBacklog+2*a.Takes()+adviceSlack)
 	defer cancel()
 	reply, err := n.dialer.Do(ctx, by.addr, &wire.Request{Body: &wire.Request_Advice{Advice: &wire.AdviceQuery{
 		Job: a.Step.Job, Time: uint32(a.Step.Time), Step: uint32(a.Step.Step), Workers: a.Workers,
@@ -78,66 +77,65 @@
 	return t, nil
 }
 
-func (n *Instance) addAsking(by time.Duration) {
+func (n *Instance) addAdviceBacklog(by time.Duration) {
 	n.mu.Lock()
-	n.asking += by
+	n.adviceBacklog += by
 	n.mu.Unlock()
 }
 
-// caller chooses who asks a question: the instance whose questions under way are answered
-// first, since the policy takes those of one caller in turn; nil is this instance itself.
-// Short ones are asked here while nothing is under way here, long ones by instances that
-// own no cell.
-func (n *Instance) caller(a *cell.Ask) *member {
+// adviceCaller chooses who puts a question to the policy: the instance whose questions in progress are
+// answered first, since the policy handles those of one caller one after another. nil is this
+// instance itself. Short questions are asked here while none is in progress here; long ones
+// preferably by instances that own no cell.
+func (n *Instance) adviceCaller(a *cell.Ask) *member {
 	long := a.Long()
 	n.mu.Lock()
-	own := n.asking
+	own := n.adviceBacklog
 	n.mu.Unlock()
 	if !long && own == 0 {
 		return nil
 	}
 	now := clock.Now()
-	peers := n.members.list(now, func(k *member) bool { return k.asks(now) })
-	best, bestCost := (*member)(nil), cost(own, true, false, long)
+	peers := n.members.list(now, func(k *member) bool { return k.responsive(now) })
+	best, bestCost := (*member)(nil), callerCost(own, true, false, long)
 	for i := range peers {
 		p := &peers[i]
-		c := cost(p.asking, len(p.cells) > 0, n.farther(*p) > 0, long)
-		if c < bestCost || (best != nil && c == bestCost && n.draw(p.name) < n.draw(best.name)) {
+		c := callerCost(p.adviceBacklog, len(p.cells) > 0, n.hallDistance(*p) > 0, long)
+		if c < bestCost || (best != nil && c == bestCost && n.tieBreak(p.name) < n.tieBreak(best.name)) {
 			best, bestCost = p, c
 		}
 	}
 	return best
 }
 
-// asks reports whether a member may be given questions to ask.
-func (k *member) asks(now time.Time) bool {
-	return !k.leaving && now.Sub(k.heard) < askedWithin && now.Sub(k.failed) >= shunTime
+// responsive reports whether a member may be given questions to ask or orders to relay.
+func (k *member) responsive(now time.Time) bool {
+	return !k.leaving && now.Sub(k.heardAt) < peerMaxSilence && now.Sub(k.failedAt) >= failedPeerPause
 }
 
 const (
-	// farCost is what a caller in another hall counts for, the way there and back, and
-	// ownerCost what one that owns a cell does for a long question: short ones should not
-	// have to wait behind it.
-	farCost   = 4 * time.Millisecond
-	ownerCost = 250 * time.Millisecond
+	// otherHallCost is added for a caller in another hall, for the round trip. ownerCost is added for
+	// a caller that owns a cell if the question is long: short ones should not have to wait behind it.
+	otherHallCost = 4 * time.Millisecond
+	ownerCost     = 250 * time.Millisecond
 )
 
-// cost ranks a caller by how long the answers to its questions under way take, whether it
-// owns a cell, and whether it is in another hall.
-func cost(asking time.Duration, owner, far, long bool) time.Duration {
+// callerCost ranks a caller by the expected time to answer its questions in progress, whether it owns
+// a cell, and whether it is in another hall.
+func callerCost(asking time.Duration, owner, far, long bool) time.Duration {
 	c := asking
 	if owner && long {
 		c += ownerCost
 	}
 	if far {
-		c += farCost
+		c += otherHallCost
 	}
 	return c
 }
 
 func (n *Instance) handleAdvice(ctx context.Context, q *wire.AdviceQuery) (*wire.Reply, error) {
 	if n.Advisor == nil {
-		return nil, kind.New(kind.Unavailable, "there is no policy service")
+		return nil, kind.New(kind.Unavailable, "no policy service is configured")
 	}
 	t, err := n.Advisor.Advise(ctx, flow.StepID{Job: q.Job, Time: int(q.Time), Step: int(q.Step)}, q.Workers)
 	if err != nil {
--- a/cluster/badrows.go
+++ b/cluster/badrows.go
@@ -13,11 +13,10 @@
 	"dewpass.org/telemetry"
 )
 
-// badRowsMost bounds the rows that are remembered as logged.
-const badRowsMost = 1000
+// maxLoggedRows limits the rows that are remembered as logged.
+const maxLoggedRows = 1000
 
-// badRows counts the rows of the store that cannot be read, and logs each once in each of its
-// versions.
+// badRows counts the rows of the store that cannot be read, and logs each version of such a row once.
 type badRows struct {
 	log   log.Logger
 	count tally.Counter
@@ -41,7 +40,7 @@
 		if ver, ok := b.logged[row.Key]; ok && ver == row.Ver {
 			continue
 		}
-		if b.logged == nil || len(b.logged) >= badRowsMost {
+		if b.logged == nil || len(b.logged) >= maxLoggedRows {
 			b.logged = make(map[rows.Key]uint64)
 		}
 		b.logged[row.Key] = row.Ver
--- a/cluster/carry.go
+++ b/cluster/carry.go
@@ -16,84 +16,84 @@
 	"dewpass.org/wire"
 )
 
-// carriers are the instances that send orders for this one: those of the workers' hall
-// that have the fewest under way. It implements driver.Carriers.
-type carriers struct{ n *Instance }
+// relays sends orders through other instances: those of the workers' hall that have the fewest orders
+// in progress. It implements driver.Carriers.
+type relays struct{ n *Instance }
 
-// Ready implements driver.Carriers. An owner that does not reach the store itself has its
-// orders sent by nobody: what it does not hear of there, that a worker leaves or that a
-// job was cancelled, would be done by an instance that does.
-func (s carriers) Ready() bool { return s.n.storeClient.DirectOK() }
+// Ready implements driver.Carriers. The orders of an owner that does not reach the store itself are
+// not relayed. Such an owner does not learn from the store that a worker leaves or that a job was
+// cancelled, and relays that do reach it would carry out its outdated orders.
+func (s relays) Ready() bool { return s.n.storeClient.DirectOK() }
 
 // Starts implements driver.Carriers.
-func (s carriers) Starts(ctx context.Context, hall string, orders []driver.StartOrder, limit time.Duration) ([]driver.StartResult, error) {
+func (s relays) Starts(ctx context.Context, hall string, orders []driver.StartOrder, limit time.Duration) ([]driver.StartResult, error) {
 	job := orders[0].Task.Job
-	by, given := s.n.startCarrier(hall, job, len(orders))
+	by, given := s.n.startRelay(hall, job, len(orders))
 	if by == nil {
-		return nil, kind.New(kind.Unavailable, "no other instance is heard")
+		return nil, kind.New(kind.Unavailable, "no other instance is live")
 	}
-	s.n.members.carries(by.name, len(orders))
-	defer s.n.members.carries(by.name, -len(orders))
+	s.n.members.addRelayedOrders(by.name, len(orders))
+	defer s.n.members.addRelayedOrders(by.name, -len(orders))
 	m := startOrders(orders, limit)
 	if given {
 		m.Text = ""
 	}
 	reply, err := s.n.dialer.Do(ctx, by.addr, &wire.Request{Body: &wire.Request_Starts{Starts: m}})
 	if given && kind.Is(err, kind.Conflict) {
-		// Nothing was sent: it has started anew, or has had many other texts since.
+		// Nothing was sent: the relay has restarted, or has evicted the text from its cache.
 		m.Text = orders[0].Text
 		reply, err = s.n.dialer.Do(ctx, by.addr, &wire.Request{Body: &wire.Request_Starts{Starts: m}})
 	}
 	if err != nil {
-		s.n.members.failed(by.name, clock.Now())
+		s.n.members.markFailed(by.name, clock.Now())
 		return nil, err
 	}
-	s.n.given.add(job, by.name, clock.Now())
+	s.n.textHolders.add(job, by.name, clock.Now())
 	return startResults(reply.GetStarts()), nil
 }
 
-// startCarrier chooses the instance that sends orders to start runs of a job, and says whether
-// it was given the job's text before; nil if there is none.
-func (n *Instance) startCarrier(hall, job string, orders int) (*member, bool) {
+// startRelay chooses the instance that relays orders to start runs of a job, nil if there is none. It
+// reports whether that instance was already sent the job's text.
+func (n *Instance) startRelay(hall, job string, orders int) (*member, bool) {
 	now := clock.Now()
-	holders := n.given.holders(job, now)
+	holders := n.textHolders.holders(job, now)
 	peers := n.members.list(now, func(k *member) bool {
-		return k.asks(now) && slices.Contains(holders, k.name) && k.carrying+orders <= carryingMost
+		return k.responsive(now) && slices.Contains(holders, k.name) && k.relayedOrders+orders <= maxRelayedOrders
 	})
-	if by := n.leastCarrying(peers); by != nil {
+	if by := n.leastLoadedRelay(peers); by != nil {
 		return by, true
 	}
-	return n.carrier(hall), false
+	return n.relayFor(hall), false
 }
 
-// carryingMost is how many orders an instance that has the text of a job may have under way
-// before another one is given it: 32 of 1 KB take 0.13 s of a link of 2 Mbit/s.
-const carryingMost = 32
+// maxRelayedOrders is how many orders an instance that has the text of a job may have in progress
+// before the text is sent to another one: 32 orders of 1 KB take 0.13 s on a link of 2 Mbit/s.
+const maxRelayedOrders = 32
 
-// carrier chooses the instance that sends orders to the workers of a hall, nil if there is
-// none: one of that hall, if any is heard.
-func (n *Instance) carrier(hall string) *member {
+// relayFor chooses the instance that relays orders to the workers of a hall, nil if there is none: one
+// of that hall if any is live.
+func (n *Instance) relayFor(hall string) *member {
 	now := clock.Now()
-	peers := n.members.list(now, func(k *member) bool { return k.hall == hall && k.asks(now) })
+	peers := n.members.list(now, func(k *member) bool { return k.hall == hall && k.responsive(now) })
 	if len(peers) == 0 {
-		peers = n.members.list(now, func(k *member) bool { return k.asks(now) })
+		peers = n.members.list(now, func(k *member) bool { return k.responsive(now) })
 	}
-	return n.leastCarrying(peers)
+	return n.leastLoadedRelay(peers)
 }
 
-// leastCarrying returns the member that has the fewest orders under way, nil if there is none.
-func (n *Instance) leastCarrying(peers []member) *member {
+// leastLoadedRelay returns the member that has the fewest orders in progress, nil if there is none.
+func (n *Instance) leastLoadedRelay(peers []member) *member {
 	var best *member
 	for i := range peers {
 		p := &peers[i]
-		if best == nil || p.carrying < best.carrying || (p.carrying == best.carrying && n.draw(p.name) < n.draw(best.name)) {
+		if best == nil || p.relayedOrders < best.relayedOrders || (p.relayedOrders == best.relayedOrders && n.tieBreak(p.name) < n.tieBreak(best.name)) {
 			best = p
 		}
 	}
 	return best
 }
 
-// startOrders returns the message for orders of one step.
+// startOrders returns the message for orders, all of one step.
 func startOrders(orders []driver.StartOrder, limit time.Duration) *wire.StartOrders {
 	task := orders[0].Task
 	m := &wire.StartOrders{Text: orders[0].Text, Job: task.Job, Time: uint32(task.Time), Step: uint32(task.Step)}
@@ -119,20 +119,20 @@
 }
 
 // Hold implements driver.Carriers.
-func (s carriers) Hold(ctx context.Context, hall string, o driver.HoldOrder, limit time.Duration) (driver.HoldAnswer, bool, error) {
-	by := s.n.carrier(hall)
+func (s relays) Hold(ctx context.Context, hall string, o driver.HoldOrder, limit time.Duration) (driver.HoldAnswer, bool, error) {
+	by := s.n.relayFor(hall)
 	if by == nil {
 		return driver.HoldAnswer{}, false, nil
 	}
-	s.n.members.carries(by.name, 1)
-	defer s.n.members.carries(by.name, -1)
+	s.n.members.addRelayedOrders(by.name, 1)
+	defer s.n.members.addRelayedOrders(by.name, -1)
 	reply, err := s.n.dialer.Do(ctx, by.addr, &wire.Request{Body: &wire.Request_Hold{Hold: &wire.HoldOrder{
 		Worker: o.Worker, Addr: o.Addr, Fence: o.Fence, Observed: uint64(o.Observed), UntilMs: o.UntilMS,
 		WaitMs: uint32(o.Wait.Milliseconds()), LimitMs: uint32(limit.Milliseconds()), Brief: o.Brief,
 	}}})
 	if err != nil {
 		if ctx.Err() == nil || context.Cause(ctx) != context.Canceled {
-			s.n.members.failed(by.name, clock.Now())
+			s.n.members.markFailed(by.name, clock.Now())
 		}
 		return driver.HoldAnswer{}, false, err
 	}
@@ -166,7 +166,7 @@
 	return &wire.TaskName{Job: t.Job, Time: uint32(t.Time), Step: uint32(t.Step), Index: uint32(t.Index)}
 }
 
-// handleHold holds a worker for its owner.
+// handleHold relays a hold order to a worker for the cell's owner.
 func (n *Instance) handleHold(ctx context.Context, m *wire.HoldOrder) *wire.Reply {
 	wait := time.Duration(m.WaitMs) * time.Millisecond
 	ctx, cancel := context.WithTimeout(ctx, wait+time.Duration(m.LimitMs)*time.Millisecond)
@@ -196,11 +196,12 @@
 	return &wire.Reply{Body: &wire.Reply_Hold{Hold: out}}
 }
 
-// handleStarts sends orders for their owner and returns once all are answered or given up.
+// handleStarts relays start orders to workers for the cell's owner. It returns once all are answered
+// or have timed out.
 func (n *Instance) handleStarts(ctx context.Context, m *wire.StartOrders) (*wire.Reply, error) {
 	if m.Text == "" {
 		if m.Text = n.texts.get(m.Job); m.Text == "" {
-			return nil, kind.New(kind.Conflict, "the text of the job is not here")
+			return nil, kind.New(kind.Conflict, "the text of the job is not cached here")
 		}
 	}
 	n.texts.set(m.Job, m.Text)
--- a/cluster/carry_test.go
+++ b/cluster/carry_test.go
@@ -18,15 +18,15 @@
 	"dewpass.org/wire"
 )
 
-// told are workers that note the orders that they get.
-type told struct {
+// recordingWorkers records the start orders that it receives.
+type recordingWorkers struct {
 	driver.Workers
 	mu     sync.Mutex
 	starts []driver.StartOrder
 	ends   []cell.Finished
 }
 
-func (w *told) Start(_ context.Context, o driver.StartOrder) (driver.StartAnswer, error) {
+func (w *recordingWorkers) Start(_ context.Context, o driver.StartOrder) (driver.StartAnswer, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.starts = append(w.starts, o)
@@ -39,7 +39,7 @@
 	return driver.StartAnswer{ClockMS: 7}, nil
 }
 
-func (w *told) Hold(_ context.Context, o driver.HoldOrder) (driver.HoldAnswer, error) {
+func (w *recordingWorkers) Hold(_ context.Context, o driver.HoldOrder) (driver.HoldAnswer, error) {
 	if o.Worker == "gone" {
 		return driver.HoldAnswer{}, kind.New(kind.NotFound, "another life")
 	}
@@ -47,15 +47,15 @@
 	return driver.HoldAnswer{ClockMS: 7, Lists: cell.Lists{Running: []cell.Running{run}, Finished: w.ends, Cut: true}}, nil
 }
 
-// passedOn gives a carrier's message to a carrier as it would travel.
-func passedOn(ctx context.Context, n *Instance, orders []driver.StartOrder, text string) ([]driver.StartResult, error) {
+// sendToRelay has the relay n handle orders as they arrive from the network.
+func sendToRelay(ctx context.Context, n *Instance, orders []driver.StartOrder, text string) ([]driver.StartResult, error) {
 	m := startOrders(orders, time.Second)
 	m.Text = text
 	reply, err := n.handle(ctx, &wire.Request{Body: &wire.Request_Starts{Starts: m}})
 	return startResults(reply.GetStarts()), err
 }
 
-var _ = Describe("orders that another instance sends", func() {
+var _ = Describe("orders that another instance relays", func() {
 	order := func(worker string, index int) driver.StartOrder {
 		return driver.StartOrder{
 			Target: driver.Target{Worker: worker, Addr: "a", Fence: 99},
@@ -64,10 +64,10 @@
 	}
 
 	It("reach the workers as the owner gave them, each with its own result", func(ctx context.Context) {
-		n, w := testInstance(nil), &told{}
+		n, w := testInstance(nil), &recordingWorkers{}
 		n.Carrier = w
 		orders := []driver.StartOrder{order("good", 3), order("full", 4), order("gone", 5)}
-		got, err := passedOn(ctx, n, orders, "text")
+		got, err := sendToRelay(ctx, n, orders, "text")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(w.starts).To(ConsistOf(orders))
 		Expect(got).To(HaveLen(3))
@@ -76,22 +76,22 @@
 		Expect(kind.Is(got[2].Err, kind.NotFound)).To(BeTrue())
 	})
 
-	It("bear the text of a job once", func(ctx context.Context) {
-		n, w := testInstance(nil), &told{}
+	It("contain the text of a job only once", func(ctx context.Context) {
+		n, w := testInstance(nil), &recordingWorkers{}
 		n.Carrier = w
-		_, err := passedOn(ctx, n, []driver.StartOrder{order("good", 0)}, "")
-		Expect(kind.Is(err, kind.Conflict)).To(BeTrue(), "it does not have the text")
+		_, err := sendToRelay(ctx, n, []driver.StartOrder{order("good", 0)}, "")
+		Expect(kind.Is(err, kind.Conflict)).To(BeTrue(), "the relay does not have the text")
 		Expect(w.starts).To(BeEmpty())
-		_, err = passedOn(ctx, n, []driver.StartOrder{order("good", 0)}, "text")
+		_, err = sendToRelay(ctx, n, []driver.StartOrder{order("good", 0)}, "text")
 		Expect(err).NotTo(HaveOccurred())
-		_, err = passedOn(ctx, n, []driver.StartOrder{order("good", 1)}, "")
+		_, err = sendToRelay(ctx, n, []driver.StartOrder{order("good", 1)}, "")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(w.starts).To(HaveLen(2))
 		Expect(w.starts[1].Text).To(Equal("text"))
 	})
 
-	It("leave out what runs only where ends are there and nothing else is wanted", func(ctx context.Context) {
-		n, w := testInstance(nil), &told{}
+	It("omit running tasks only if a brief answer is wanted and there are finished ones", func(ctx context.Context) {
+		n, w := testInstance(nil), &recordingWorkers{}
 		n.Carrier = w
 		hold := func(worker string, brief bool) (driver.HoldAnswer, error) {
 			reply, err := n.handle(ctx, &wire.Request{Body: &wire.Request_Hold{Hold: &wire.HoldOrder{Worker: worker, Brief: brief}}})
@@ -114,64 +114,64 @@
 		Expect(a.Lists.Running).To(BeEmpty())
 		Expect(a.Lists.Finished).To(Equal(w.ends))
 		_, err = hold("gone", true)
-		Expect(kind.Is(err, kind.NotFound)).To(BeTrue(), "the worker's own word comes through")
+		Expect(kind.Is(err, kind.NotFound)).To(BeTrue(), "the worker's error is passed on")
 	})
 
-	It("go to an instance of the workers' hall, and to one that has the text while it is not busy", func() {
+	It("go to an instance of the workers' hall, or to one that has the text and few orders in progress", func() {
 		n := testInstance(nil)
 		now := time.Now()
 		hear := func(name, hall string) {
-			n.members.heard(&wire.Greeting{Instance: name, Hall: hall, Boot: "b", Addr: name}, now)
+			n.members.applyGreeting(&wire.Greeting{Instance: name, Hall: hall, Boot: "b", Addr: name}, now)
 		}
-		by, _ := n.startCarrier("h", "j", 8)
+		by, _ := n.startRelay("h", "j", 8)
 		Expect(by).To(BeNil())
 		hear("far", "other")
-		by, given := n.startCarrier("h", "j", 8)
+		by, given := n.startRelay("h", "j", 8)
 		Expect(by.name).To(Equal("far"))
 		Expect(given).To(BeFalse())
 		hear("near", "h")
-		by, _ = n.startCarrier("h", "j", 8)
+		by, _ = n.startRelay("h", "j", 8)
 		Expect(by.name).To(Equal("near"))
-		n.given.add("j", "far", now)
-		by, given = n.startCarrier("h", "j", 8)
+		n.textHolders.add("j", "far", now)
+		by, given = n.startRelay("h", "j", 8)
 		Expect(by.name).To(Equal("far"))
 		Expect(given).To(BeTrue())
-		n.members.carries("far", carryingMost)
-		by, given = n.startCarrier("h", "j", 8)
+		n.members.addRelayedOrders("far", maxRelayedOrders)
+		by, given = n.startRelay("h", "j", 8)
 		Expect(by.name).To(Equal("near"))
 		Expect(given).To(BeFalse())
-		n.members.carries("far", -2*carryingMost)
-		Expect(n.members.list(now, func(k *member) bool { return k.carrying < 0 })).To(BeEmpty())
+		n.members.addRelayedOrders("far", -2*maxRelayedOrders)
+		Expect(n.members.list(now, func(k *member) bool { return k.relayedOrders < 0 })).To(BeEmpty())
 	})
 
-	It("are the owner's own to send while it does not reach the store itself", func() {
-		Expect(carriers{testInstance(nil)}.Ready()).To(BeFalse())
+	It("are not relayed for an owner that does not reach the store itself", func() {
+		Expect(relays{testInstance(nil)}.Ready()).To(BeFalse())
 	})
 })
 
-var _ = Describe("the texts that an instance keeps for owners", func() {
-	It("are those used last, and bounded", func() {
-		var t texts
-		for i := range textsMost {
+var _ = Describe("the texts of jobs that are cached for relayed orders", func() {
+	It("are the most recently used ones, up to a limit", func() {
+		var t jobTexts
+		for i := range maxJobTexts {
 			t.set(fmt.Sprint(i), "x")
 		}
 		t.set("0", "x")
 		t.set("new", "x")
 		Expect(t.get("0")).To(Equal("x"))
 		Expect(t.get("1")).To(BeEmpty())
-		Expect(t.texts).To(HaveLen(textsMost))
-		Expect(t.order).To(HaveLen(textsMost))
+		Expect(t.texts).To(HaveLen(maxJobTexts))
+		Expect(t.order).To(HaveLen(maxJobTexts))
 	})
 
-	It("are forgotten by their owner a while after the last order", func() {
-		var g given
+	It("are assumed by the owner to be evicted a while after the last order", func() {
+		var g textHolders
 		now := time.Now()
 		g.add("j", "a", now)
 		g.add("j", "a", now)
 		g.add("j", "b", now)
 		Expect(g.holders("j", now)).To(Equal([]string{"a", "b"}))
-		Expect(g.holders("j", now.Add(givenFor+1))).To(BeEmpty())
-		g.add("k", "a", now.Add(givenFor+1))
+		Expect(g.holders("j", now.Add(holderTTL+1))).To(BeEmpty())
+		g.add("k", "a", now.Add(holderTTL+1))
 		Expect(g.jobs).To(HaveLen(1))
 	})
 })
--- a/cluster/configs.go
+++ b/cluster/configs.go
@@ -16,38 +16,39 @@
 	"dewpass.org/wire"
 )
 
-// The configuration comes on one way at a time: the store's feed brings each change once.
-// Only when a peer has had a newer one for a while, and nothing comes from the store, is
-// it asked as well, and one peer at a time. What an instance reads does not grow with the
-// number of its peers, and a change takes the link of an instance for one transfer.
+// The configuration arrives in one way at a time: the store's feed brings each change once. Only if
+// a peer has had a newer version for a while and the store delivers nothing is a peer asked as well,
+// and only one at a time. So the amount that an instance reads does not grow with the number of its
+// peers, and a change occupies its link for one transfer.
 const (
-	// configSoon spaces tries while there is no configuration, the feed fails, or it
-	// answers without waiting.
-	configSoon = 200 * time.Millisecond
-	// configWait is how long the feed is waited on at once. A connection that has gone
-	// silent is noticed that much later than with a plain call.
-	configWait = 900 * time.Millisecond
-	// positionKept is for how long after its last answer the position in the feed is gone
-	// on from: more than one call without an answer takes, 2.4 s. The feed brings each
-	// version that was missed, the document alone brings the last.
-	positionKept = 3 * time.Second
-	// auditRate is how many bytes a second are spent, on average, on reading the whole
-	// document again in case the feed has left out a change: less than half of the 5 KB
-	// a second that an instance has for control. 11 KB for 45 queues are read every 6 s,
-	// 800 KB for 4,000 queues every 7 minutes; auditLeast is the least time between two.
-	auditRate  = 2 << 10
-	auditLeast = 5 * time.Second
-	// auditTeam is how many instances of a hall each read it as often as if they were alone,
-	// so that some do while others are down.
-	auditTeam = 4
-	// fetchAfter is how long the store's feed has to begin to bring a configuration that
-	// a peer has: longer than a large one takes over an ordinary link.
-	fetchAfter = 250 * time.Millisecond
-	// fetchTime bounds the asking of a peer, so that one that has paused does not hold
-	// up the asking of another: 10 Mbit/s carry 1.2 MB, compressed, in it.
-	fetchTime = time.Second
-	// logConfigEvery spaces the lines on an unread configuration; counters have all.
-	logConfigEvery = 2 * time.Second
+	// configRetryPause is the pause between attempts while there is no configuration, the feed fails,
+	// or it answers without waiting.
+	configRetryPause = 200 * time.Millisecond
+	// feedWait is how long one call to the feed waits for a change. A connection that has gone
+	// silent is noticed that much later than with a call that returns at once.
+	feedWait = 900 * time.Millisecond
+	// positionTTL is how long after its last answer the position in the feed is still used: longer
+	// than one call without an answer takes, 2.4 s. After that the whole document is read: the
+	// feed would bring every version that was missed, the document brings only the last.
+	positionTTL = 3 * time.Second
+	// fullReadRate is the number of bytes a second spent on average on reading the whole document
+	// again, in case the feed has left out a change: less than half of the 5 KB a second that an
+	// instance has for control traffic. 11 KB for 45 queues are read every 6 s, 800 KB for 4,000
+	// queues every 7 minutes. minFullReadInterval is the minimum time between two such reads.
+	fullReadRate        = 2 << 10
+	minFullReadInterval = 5 * time.Second
+	// fullReadRedundancy is how many times as often as needed the instances of a hall together read
+	// the whole document, so that some do while others are down.
+	fullReadRedundancy = 4
+	// fetchDelay is how long the store's feed has to start to deliver a configuration that a peer
+	// has: longer than a large one takes over an ordinary link.
+	fetchDelay = 250 * time.Millisecond
+	// fetchTimeout limits a request to a peer, so that one that is paused does not delay the request
+	// to another: a link of 10 Mbit/s carries 1.2 MB of compressed data in it.
+	fetchTimeout = time.Second
+	// configErrorLogInterval limits the log lines on failed reads of the configuration; counters
+	// count all of them.
+	configErrorLogInterval = 2 * time.Second
 )
 
 func (n *Instance) install(c *config.Config, from string) {
@@ -55,138 +56,139 @@
 		return
 	}
 	level.Info(n.kit.Log).Log("event", "config", "version", c.Version, "queues", len(c.Queues), "accounts", len(c.Accounts), "bytes", len(c.Raw), "from", from)
-	for _, own := range n.owned() {
+	for _, own := range n.ownCells() {
 		n.configure(own.driver)
 	}
 }
 
-// configTrusted is for how long after the store's feed was last heard this instance may tell a
-// caller that its key is not known, rather than that it cannot know.
-const configTrusted = 2 * time.Second
+// configFreshTime is how long after the last answer of the store's feed this instance may tell a
+// caller that its key is unknown, rather than that it cannot decide.
+const configFreshTime = 2 * time.Second
 
-// Unauthorized returns the error for a call to a queue with a key that is not known, or none. An
-// instance that may have missed a change of the configuration does not say that a key is wrong:
-// the key may be newer than what it has.
+// Unauthorized returns the error for a call to a queue without a key or with an unknown one. An
+// instance that may have missed a change of the configuration returns Unavailable instead of
+// Unauthorized: the key may be newer than its configuration.
 func (n *Instance) Unauthorized(queue string) error {
-	heard := n.configHeard.Load()
-	age := clock.Since(n.began)
+	heard := n.configConfirmedAt.Load()
+	age := clock.Since(n.startedAt)
 	if heard != nil {
 		age = clock.Since(*heard)
 	}
 	n.kit.Scope.Counter("calls_unauthorized_total").Inc(1)
 	level.Info(n.kit.Log).Log("event", "unauthorized", "queue", queue, "config", n.config.Version(), "age_ms", age.Milliseconds())
-	if heard == nil || age > configTrusted {
+	if heard == nil || age > configFreshTime {
 		return kind.New(kind.Unavailable, "the configuration may be older than the key").After(retry.Least)
 	}
 	return kind.New(kind.Unauthorized, "the queue needs a valid key of a client account")
 }
 
-// followConfig takes in the changes as the store tells them.
+// followConfig applies changes of the configuration as the store reports them, until ctx ends.
 func (n *Instance) followConfig(ctx context.Context) {
 	var f feedState
 	for ctx.Err() == nil {
 		now := clock.Now()
-		audit := auditAfter(n.config.Now()) * time.Duration(auditors(n.members.inHall(now)))
-		whole := f.whole(now, audit)
+		audit := fullReadInterval(n.config.Now()) * time.Duration(fullReadDivisor(n.members.liveInHall(now)))
+		whole := f.needsFullRead(now, audit)
 		begun := clock.Now()
-		c, from, at, err := n.nextConfig(ctx, whole, f.position)
-		n.transferred(c, from, begun, err)
-		f.took(whole, at, err, clock.Now())
+		c, from, at, err := n.readConfig(ctx, whole, f.position)
+		n.finishTransfer(c, from, begun, err)
+		f.update(whole, at, err, clock.Now())
 		if err == nil {
 			now := clock.Now()
-			n.configHeard.Store(&now)
+			n.configConfirmedAt.Store(&now)
 		}
-		if c == nil && clock.Since(begun) < configSoon {
-			// It failed at once, or did not wait.
-			sleep(ctx, configSoon)
+		if c == nil && clock.Since(begun) < configRetryPause {
+			// The call failed at once, or did not wait.
+			sleep(ctx, configRetryPause)
 		}
 	}
 }
 
-// feedState is where an instance is in the feed of the configuration.
+// feedState is the position of an instance in the feed of the configuration.
 type feedState struct {
-	// position is the version of the store to go on from, 0 if there is none.
+	// position is the version of the store to continue from, 0 if there is none.
 	position uint64
-	// heard is when a call was last answered, and read when the whole document was last
-	// asked for.
-	heard, read time.Time
+	// answeredAt is when a call was last answered, and fullReadAt when the whole document was last
+	// requested.
+	answeredAt, fullReadAt time.Time
 }
 
-// whole reports whether the whole document is read next.
-func (f *feedState) whole(now time.Time, audit time.Duration) bool {
-	return f.position == 0 || now.Sub(f.heard) > positionKept || now.Sub(f.read) > audit
+// needsFullRead reports whether the whole document is to be read next. audit is the interval between
+// such reads.
+func (f *feedState) needsFullRead(now time.Time, audit time.Duration) bool {
+	return f.position == 0 || now.Sub(f.answeredAt) > positionTTL || now.Sub(f.fullReadAt) > audit
 }
 
-// auditors returns among how many instances of a hall the readings of the whole document are
-// divided, of so many: a version that one of them finds, the others hear of by greetings.
-// Where each of 147 read it by itself, that was a tenth of all that is read of the store.
-func auditors(inHall int) int { return max(1, inHall/auditTeam) }
+// fullReadDivisor returns by how much less often than alone each of inHall instances of a hall reads
+// the whole document: a version that one of them finds, the others learn of by greetings. When each
+// of 147 instances read it on its own schedule, that was a tenth of all reads of the store.
+func fullReadDivisor(inHall int) int { return max(1, inHall/fullReadRedundancy) }
 
-// took takes in how a call ended. One that failed leaves the position as it was, unless
-// the store has forgotten its changes, or the call brought a document that cannot be used.
-func (f *feedState) took(whole bool, at uint64, err error, now time.Time) {
+// update records the result of a call. A failed call leaves the position as it was, unless the store
+// no longer has the changes since then, or the call returned a document that cannot be used.
+func (f *feedState) update(whole bool, at uint64, err error, now time.Time) {
 	if whole {
-		f.read = now
+		f.fullReadAt = now
 	}
 	switch {
 	case kind.Is(err, kind.Conflict):
 		f.position = 0
 	case err == nil || at > f.position:
-		f.position, f.heard = at, now
+		f.position, f.answeredAt = at, now
 	}
 }
 
-// auditAfter returns after how long the whole document is read again.
-func auditAfter(c *config.Config) time.Duration {
+// fullReadInterval returns the interval between reads of the whole document by a single instance.
+func fullReadInterval(c *config.Config) time.Duration {
 	if c == nil {
-		return auditLeast
+		return minFullReadInterval
 	}
-	return max(auditLeast, time.Duration(len(c.Raw))*time.Second/auditRate)
+	return max(minFullReadInterval, time.Duration(len(c.Raw))*time.Second/fullReadRate)
 }
 
-// nextConfig reads the whole configuration, or waits for a change after a position in the
-// feed. It returns the position to go on from.
-func (n *Instance) nextConfig(ctx context.Context, whole bool, position uint64) (c *config.Config, from string, at uint64, err error) {
+// readConfig reads the whole configuration, or waits for a change after a position in the feed. It
+// returns the position to continue from.
+func (n *Instance) readConfig(ctx context.Context, whole bool, position uint64) (c *config.Config, from string, at uint64, err error) {
 	if whole {
 		c, at, err = n.configs.Get(ctx)
 		return c, "read", at, err
 	}
-	c, at, err = n.configs.Changes(ctx, position, configWait)
+	c, at, err = n.configs.Changes(ctx, position, feedWait)
 	return c, "feed", at, err
 }
 
-// configArrives notes that the store's answer with the configuration brings something.
-func (n *Instance) configArrives() {
+// noteConfigData records that data of the store's answer with the configuration has arrived.
+func (n *Instance) noteConfigData() {
 	now := clock.Now()
-	n.arriving.Store(&now)
+	n.configDataAt.Store(&now)
 }
 
-// configComes reports whether the store is bringing the configuration.
-func (n *Instance) configComes(now time.Time) bool {
-	last := n.arriving.Load()
-	return last != nil && now.Sub(*last) < fetchAfter
+// configArriving reports whether the store is currently delivering the configuration.
+func (n *Instance) configArriving(now time.Time) bool {
+	last := n.configDataAt.Load()
+	return last != nil && now.Sub(*last) < fetchDelay
 }
 
-// fetchConfig takes a configuration that a peer has, unless the store's feed brings it
-// meanwhile.
-func (n *Instance) fetchConfig(addr string, version uint64) {
-	if !n.fetching.CompareAndSwap(false, true) {
+// fetchFromPeer requests a newer configuration from a peer, unless the store's feed delivers it
+// within fetchDelay.
+func (n *Instance) fetchFromPeer(addr string, version uint64) {
+	if !n.fetchingConfig.CompareAndSwap(false, true) {
 		return
 	}
-	defer n.fetching.Store(false)
-	time.Sleep(fetchAfter)
-	if n.config.Version() >= version || n.configComes(clock.Now()) {
+	defer n.fetchingConfig.Store(false)
+	time.Sleep(fetchDelay)
+	if n.config.Version() >= version || n.configArriving(clock.Now()) {
 		return
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), fetchTime)
+	ctx, cancel := context.WithTimeout(context.Background(), fetchTimeout)
 	defer cancel()
 	begun := clock.Now()
-	c, err := n.askConfig(ctx, addr)
-	n.transferred(c, "peer", begun, err)
+	c, err := n.requestConfig(ctx, addr)
+	n.finishTransfer(c, "peer", begun, err)
 }
 
-// askConfig asks a peer for a newer configuration. It returns nil if there is none.
-func (n *Instance) askConfig(ctx context.Context, addr string) (*config.Config, error) {
+// requestConfig asks a peer for a newer configuration. It returns nil if the peer has none.
+func (n *Instance) requestConfig(ctx context.Context, addr string) (*config.Config, error) {
 	reply, err := n.dialer.Do(ctx, addr, &wire.Request{Body: &wire.Request_Config{
 		Config: &wire.ConfigQuery{Above: n.config.Version()},
 	}})
@@ -200,18 +202,18 @@
 	return n.ParseConfig(raw)
 }
 
-// transferred takes in what came of asking for the configuration, and logs what a
-// transfer cost or why there was none.
-func (n *Instance) transferred(c *config.Config, from string, begun time.Time, err error) {
+// finishTransfer installs the result of a request for the configuration. It counts transfers and
+// their cost, and logs failures.
+func (n *Instance) finishTransfer(c *config.Config, from string, begun time.Time, err error) {
 	took := clock.Since(begun)
 	scope := n.kit.Scope.Tagged(map[string]string{"from": from})
 	if err != nil {
 		scope.Counter("config_transfers_failed_total").Inc(1)
-		if last := n.configLogged.Load(); last != nil && clock.Since(*last) < logConfigEvery {
+		if last := n.configErrorLoggedAt.Load(); last != nil && clock.Since(*last) < configErrorLogInterval {
 			return
 		}
 		now := clock.Now()
-		n.configLogged.Store(&now)
+		n.configErrorLoggedAt.Store(&now)
 		level.Info(n.kit.Log).Log("event", "config_not_read", "from", from, "has", n.config.Version(), "took_ms", took.Milliseconds(), "err", err)
 		return
 	}
--- a/cluster/counted.go
+++ b/cluster/counted.go
@@ -12,7 +12,7 @@
 	"dewpass.org/telemetry"
 )
 
-// countedStore counts the calls to a store.
+// countedStore counts the calls to a store and their latency.
 type countedStore struct {
 	rows.Store
 	calls *telemetry.Calls
@@ -42,7 +42,7 @@
 	return page, err
 }
 
-// countedWorkers counts the calls to workers.
+// countedWorkers counts the calls to workers and their latency.
 type countedWorkers struct {
 	driver.Workers
 	calls *telemetry.Calls
@@ -76,7 +76,7 @@
 	return a, err
 }
 
-// countedAdvisor counts the questions to the policy.
+// countedAdvisor counts the questions to the policy and their latency.
 type countedAdvisor struct {
 	driver.Advisor
 	calls *telemetry.Calls
--- a/cluster/division.go
+++ b/cluster/division.go
@@ -26,38 +26,39 @@
 // an owner, and kept in the store. It never changes then: a worker obeys the
 // highest fence that it has seen, and the fences of two cells do not compare.
 
+// The division of the workers into cells is decided once, before the first cell has an owner, and
+// kept in the store. It never changes after that: a worker obeys the highest fencing token that it
+// has seen, and the tokens of two cells are not comparable.
 const (
-	// divisionName is the row that holds the division, in the table of the cell leases.
-	divisionName = "division"
-	// workersPerCell is how many workers a cell has at most when the division is
-	// decided. BenchmarkPlace and the sweep of docs/MEASUREMENTS.md are where it
-	// comes from; a policy that allows a third of the workers, and gangs, want
-	// many.
-	workersPerCell = 400
-	// The workers are counted until their number stays for countSettled, since all
-	// start together, or for countMost.
-	countEvery   = 300 * time.Millisecond
-	countSettled = 900 * time.Millisecond
-	countMost    = 4 * time.Second
-	// countTurn stretches the pauses by which instances take turns, so that mostly
-	// one counts.
-	countTurn = 4
+	// divisionRowName is the row that holds the division, in the table of the cell leases.
+	divisionRowName = "division"
+	// maxWorkersPerCell is the maximum number of workers of a cell when the division is decided. It
+	// comes from BenchmarkPlace and the sweep of docs/MEASUREMENTS.md; a policy that allows a third
+	// of the workers, and gangs, need large cells.
+	maxWorkersPerCell = 400
+	// As all workers start together, they are counted until their number has been stable for
+	// countStableTime, or for countTimeout.
+	countInterval   = 300 * time.Millisecond
+	countStableTime = 900 * time.Millisecond
+	countTimeout    = 4 * time.Second
+	// countDelayFactor multiplies the election delays, so that usually only one instance counts.
+	countDelayFactor = 4
 )
 
-// divisionRow is the row of the division.
+// divisionRow is the stored form of the division.
 type divisionRow struct {
 	Cells   int `json:"cells"`
 	Workers int `json:"workers,omitempty"`
 }
 
-var divisionKey = rows.Key{Table: claim.Table, Name: divisionName}
+var divisionKey = rows.Key{Table: claim.Table, Name: divisionRowName}
 
 // division is what an instance knows of the division. The zero value knows nothing.
 type division struct {
 	names atomic.Pointer[[]string]
-	// perCell is how many workers a cell had when the division was decided, 0 if that is
-	// not known.
-	perCell atomic.Int64
+	// workersPerCell is how many workers a cell had when the division was decided, 0 if that is not
+	// known.
+	workersPerCell atomic.Int64
 }
 
 // cells returns the names of all cells, nil while they are not known.
@@ -68,7 +69,7 @@
 	return nil
 }
 
-// set sets how many cells there are.
+// set sets the number of cells.
 func (d *division) set(count int) {
 	names := make([]string, count)
 	for i := range names {
@@ -77,32 +78,31 @@
 	d.names.Store(&names)
 }
 
-// draw returns a cell by lot, the same for the same text, "" while the cells are
-// not known.
-func (d *division) draw(text string) string {
+// hashCell returns a cell chosen by a hash of text, "" while the cells are not known.
+func (d *division) hashCell(text string) string {
 	names := d.cells()
 	if len(names) == 0 {
 		return ""
 	}
-	return names[draw(text)%uint32(len(names))]
+	return names[hash32(text)%uint32(len(names))]
 }
 
-// shareFrom is how much of a cell's workers, as a divisor, a step needs for its job to be shared
-// among cells. A policy may let no more than a third of the workers run a step, and one hall of
-// four or more may be cut off: what is left for sure is about a quarter.
-const shareFrom = 4
+// A job is shared among cells if a step of it needs more than 1/shareDivisor of a cell's workers. A
+// policy may allow no more than a third of the workers for a step, and one hall of four or more may be
+// cut off: about a quarter is certain to remain.
+const shareDivisor = 4
 
-// shares returns the cells that a job of one cell is shared with: all others if a step of tasks
-// that last, of which a worker carries only so many, may not find enough workers in one. Steps
-// of tasks that end take turns there instead. A step that may miss too few of its tasks to be
-// divided stays whole: a cell that may move none could never empty a machine for its upkeep.
-func (d *division) shares(spec *flow.Spec, cell string) []string {
+// sharedWith returns the cells that a job of one cell is shared with: all others, if a long-running
+// step, of which a worker runs only so many tasks, may not find enough workers in one cell. (Tasks that
+// end can take turns there instead.) A step that may miss too few of its tasks to be divided stays in
+// one cell: a cell that may not move a single task could never drain a machine for its upkeep.
+func (d *division) sharedWith(spec *flow.Spec, cell string) []string {
 	names := d.cells()
 	if len(names) < 2 || !spec.MayShare() {
 		return nil
 	}
-	perCell := cmp.Or(int(d.perCell.Load()), workersPerCell)
-	wide := func(s flow.Step) bool { return s.PerWorker > 0 && s.Count*shareFrom > perCell*s.PerWorker }
+	perCell := cmp.Or(int(d.workersPerCell.Load()), maxWorkersPerCell)
+	wide := func(s flow.Step) bool { return s.PerWorker > 0 && s.Count*shareDivisor > perCell*s.PerWorker }
 	whole := func(s flow.Step) bool { return s.MayMiss > 0 && s.MayMiss < len(names) }
 	if !slices.ContainsFunc(spec.Steps, wide) || slices.ContainsFunc(spec.Steps, whole) {
 		return nil
@@ -110,61 +110,60 @@
 	return slices.DeleteFunc(slices.Clone(names), func(name string) bool { return name == cell })
 }
 
-// cellsFor returns how many cells so many workers are divided into.
-func cellsFor(workers int) int {
-	return max(1, (workers+workersPerCell-1)/workersPerCell)
+// cellCount returns into how many cells a number of workers is divided.
+func cellCount(workers int) int {
+	return max(1, (workers+maxWorkersPerCell-1)/maxWorkersPerCell)
 }
 
-// census counts workers until their number does not change any more.
-type census struct {
+// workerCount observes the number of workers until it is stable.
+type workerCount struct {
 	begun, changed time.Time
 	count          int
 }
 
-// settled takes in a count and reports whether it may be relied on.
-func (c *census) settled(count int, now time.Time) bool {
+// stable records a count and reports whether it may be used.
+func (c *workerCount) stable(count int, now time.Time) bool {
 	if c.begun.IsZero() {
 		c.begun = now
 	}
 	if count != c.count || c.changed.IsZero() {
 		c.count, c.changed = count, now
 	}
-	return now.Sub(c.begun) >= countMost || (count > 0 && now.Sub(c.changed) >= countSettled)
+	return now.Sub(c.begun) >= countTimeout || (count > 0 && now.Sub(c.changed) >= countStableTime)
 }
 
-// runCells learns or decides the division, and then sees that every cell has an
-// owner, until ctx ends.
+// runCells reads or decides the division, and then claims cells that have no owner, until ctx ends.
 func (n *Instance) runCells(ctx context.Context) {
 	if n.learnDivision(ctx) {
 		n.electLoop(ctx)
 	}
 }
 
-// learnDivision reads the division until it is known, and decides it if nobody has.
-// It reports whether it is known when it returns.
+// learnDivision reads the division until it is known, and decides it if no instance has. It reports
+// whether the division is known; it is not if ctx ended before.
 func (n *Instance) learnDivision(ctx context.Context) bool {
-	var workers census
-	turn := clock.Now().Add(firstLook)
+	var workers workerCount
+	turn := clock.Now().Add(startupListenTime)
 	for ctx.Err() == nil {
 		switch row, err := n.readDivision(ctx); {
 		case err != nil:
 			level.Info(n.kit.Log).Log("event", "division_not_read", "err", err)
 		case row.Cells > 0:
 			n.division.set(row.Cells)
-			n.division.perCell.Store(int64(row.Workers / row.Cells))
+			n.division.workersPerCell.Store(int64(row.Workers / row.Cells))
 			level.Info(n.kit.Log).Log("event", "division_known", "cells", row.Cells, "workers", row.Workers)
 			return true
-		case clock.Since(turn) >= countTurn*n.turn(divisionName, clock.Now()):
+		case clock.Since(turn) >= countDelayFactor*n.electionDelay(divisionRowName, clock.Now()):
 			if n.decideDivision(ctx, &workers) {
 				continue
 			}
 		}
-		sleep(ctx, countEvery)
+		sleep(ctx, countInterval)
 	}
 	return false
 }
 
-// readDivision reads the row; it has no cells if there is none.
+// readDivision reads the division. The result has 0 cells if it is not decided yet.
 func (n *Instance) readDivision(ctx context.Context) (divisionRow, error) {
 	page, err := n.storeClient.Get(ctx, rows.Only(divisionKey))
 	if err != nil {
@@ -176,16 +175,16 @@
 	}
 	var d divisionRow
 	if err := json.Unmarshal(row.Value, &d); err != nil {
-		return divisionRow{}, kind.Wrap(kind.Damaged, err, "the division")
+		return divisionRow{}, kind.Wrap(kind.Damaged, err, "the division row")
 	}
 	if d.Cells < 1 {
-		return divisionRow{}, kind.New(kind.Damaged, "the division has no cells")
+		return divisionRow{}, kind.New(kind.Damaged, "the division row has no cells")
 	}
 	return d, nil
 }
 
-// usable counts the entries that name a worker.
-func usable(all []driver.Entry) int {
+// countUsable counts the entries that describe a usable worker.
+func countUsable(all []driver.Entry) int {
 	count := 0
 	for i := range all {
 		if all[i].Bad == "" && !all[i].Gone {
@@ -195,17 +194,17 @@
 	return count
 }
 
-// decideDivision writes the division once it can be decided, and reports whether it
-// should be read again at once. Of those who decide at the same time one is first.
-func (n *Instance) decideDivision(ctx context.Context, workers *census) bool {
+// decideDivision writes the division once it can be decided, and reports whether it should be read
+// again at once. If several instances decide at the same time, the first write wins.
+func (n *Instance) decideDivision(ctx context.Context, workers *workerCount) bool {
 	all, err := n.Directory(n.storeClient).All(ctx)
-	count := usable(all)
+	count := countUsable(all)
 	row := divisionRow{Cells: n.settings.Cluster.Cells, Workers: count}
 	if row.Cells == 0 {
-		if err != nil || !workers.settled(count, clock.Now()) {
+		if err != nil || !workers.stable(count, clock.Now()) {
 			return false
 		}
-		row.Cells = cellsFor(count)
+		row.Cells = cellCount(count)
 	}
 	raw, err := json.Marshal(row)
 	if err != nil {
@@ -213,7 +212,7 @@
 	}
 	res, err := n.storeClient.Tx(ctx, rows.Tx{Expect: []rows.Check{{Key: divisionKey}}, Put: []rows.Row{{Key: divisionKey, Value: raw}}})
 	if err == nil && res.Refused {
-		err = errors.New("another instance was first")
+		err = errors.New("another instance has written the division first")
 	}
 	level.Info(n.kit.Log).Log("event", "division_decided", "cells", row.Cells, "workers", row.Workers, "err", err)
 	return true
--- a/cluster/division_test.go
+++ b/cluster/division_test.go
@@ -16,42 +16,42 @@
 )
 
 var _ = Describe("the division into cells", func() {
-	It("has as many cells as the workers need, and one at least", func() {
-		Expect(cellsFor(0)).To(Equal(1))
-		Expect(cellsFor(workersPerCell)).To(Equal(1))
-		Expect(cellsFor(workersPerCell + 1)).To(Equal(2))
-		Expect(cellsFor(6000)).To(Equal(15))
+	It("has as many cells as the workers need, at least one", func() {
+		Expect(cellCount(0)).To(Equal(1))
+		Expect(cellCount(maxWorkersPerCell)).To(Equal(1))
+		Expect(cellCount(maxWorkersPerCell + 1)).To(Equal(2))
+		Expect(cellCount(6000)).To(Equal(15))
 	})
 
-	It("goes by a count that has stayed for a while, or that was waited for long enough", func() {
-		var c census
+	It("uses a count that has been stable for a while, or the count at the time limit", func() {
+		var c workerCount
 		now := time.Now()
-		Expect(c.settled(10, now)).To(BeFalse())
-		Expect(c.settled(20, now.Add(countSettled))).To(BeFalse(), "they are still coming")
-		Expect(c.settled(20, now.Add(2*countSettled))).To(BeTrue())
-		var none census
-		Expect(none.settled(0, now)).To(BeFalse())
-		Expect(none.settled(0, now.Add(countSettled))).To(BeFalse(), "none is no number to go by")
-		Expect(none.settled(0, now.Add(countMost))).To(BeTrue())
+		Expect(c.stable(10, now)).To(BeFalse())
+		Expect(c.stable(20, now.Add(countStableTime))).To(BeFalse(), "workers are still starting")
+		Expect(c.stable(20, now.Add(2*countStableTime))).To(BeTrue())
+		var none workerCount
+		Expect(none.stable(0, now)).To(BeFalse())
+		Expect(none.stable(0, now.Add(countStableTime))).To(BeFalse(), "a count of 0 is not usable")
+		Expect(none.stable(0, now.Add(countTimeout))).To(BeTrue())
 	})
 
-	It("gives each rack to one cell, and none while it is not known", func() {
+	It("assigns each rack to one cell, and to none while the division is not known", func() {
 		var d division
-		Expect(d.draw("r1")).To(BeEmpty())
+		Expect(d.hashCell("r1")).To(BeEmpty())
 		d.set(3)
 		drawn := make(map[string]int)
 		for _, rack := range []string{"a", "b", "c", "d", "e", "f", "g", "h", "i"} {
-			Expect(d.draw(rack)).To(Equal(d.draw(rack)))
-			drawn[d.draw(rack)]++
+			Expect(d.hashCell(rack)).To(Equal(d.hashCell(rack)))
+			drawn[d.hashCell(rack)]++
 		}
 		Expect(drawn).To(HaveLen(3))
 	})
 })
 
 var _ = Describe("an instance", func() {
-	It("is not ready before it knows the division: it could take no job", func(ctx context.Context) {
-		n := testInstance(&policy{})
-		n.storeClient.Direct = table{}
+	It("is not ready before it knows the division, as it could accept no job", func(ctx context.Context) {
+		n := testInstance(&fakePolicy{})
+		n.storeClient.Direct = readOnlyStore{}
 		n.config.Install(&config.Config{Version: 1})
 		_, err := n.storeClient.Get(ctx, rows.Range{Table: "t"})
 		Expect(err).NotTo(HaveOccurred())
@@ -70,25 +70,25 @@
 		Cells: []*wire.CellSummary{{Name: "cell-1"}},
 	}
 
-	It("leaves a vacant one to those that own none", func() {
-		n := testInstance(&policy{})
-		free := n.turn("cell-2", now)
+	It("leaves a vacant cell to instances that own none", func() {
+		n := testInstance(&fakePolicy{})
+		free := n.electionDelay("cell-2", now)
 		n.cells["cell-0"] = &ownCell{}
-		Expect(n.turn("cell-2", now)).To(Equal(free + ownedPause))
+		Expect(n.electionDelay("cell-2", now)).To(Equal(free + ownedCellDelay))
 	})
 
-	It("hands one over to an instance alike that owns none", func() {
-		n := testInstance(&policy{})
+	It("yields one to an idle instance of about the same strength", func() {
+		n := testInstance(&fakePolicy{})
 		n.settings.Cluster.Processor = 0.4
-		n.members.heard(busy, now)
-		Expect(n.stronger(now.Add(strongerFor+1))).To(BeEmpty(), "the stronger one has a cell already")
-		Expect(n.idler(now.Add(strongerFor + 1))).To(BeEmpty())
-		n.members.heard(idle, now)
-		Expect(n.idler(now.Add(strongerFor + 1))).To(Equal("idle"))
+		n.members.applyGreeting(busy, now)
+		Expect(n.strongerIdle(now.Add(strongerHeardTime+1))).To(BeEmpty(), "the stronger one has a cell already")
+		Expect(n.idlePeer(now.Add(strongerHeardTime + 1))).To(BeEmpty())
+		n.members.applyGreeting(idle, now)
+		Expect(n.idlePeer(now.Add(strongerHeardTime + 1))).To(Equal("idle"))
 		n.settings.Cluster.Processor = 0.8
-		Expect(n.idler(now.Add(strongerFor+1))).To(BeEmpty(), "too weak")
+		Expect(n.idlePeer(now.Add(strongerHeardTime+1))).To(BeEmpty(), "too weak")
 		n.settings.Cluster.Processor = 0.4
-		later := now.Add(strongerFor + 1)
+		later := now.Add(strongerHeardTime + 1)
 		own := map[string]*ownCell{"cell-0": {}, "cell-3": {}}
 		cells, to := n.surplus(own, later)
 		Expect(to).To(Equal("idle"))
--- a/cluster/doc.go
+++ b/cluster/doc.go
@@ -1,19 +1,18 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package cluster puts together an entry instance that runs on a platform with
-// a store of rows and workers that take orders.
+// Package cluster assembles one entry instance: it answers clients and peers, and schedules jobs
+// on workers through a platform (worker calls) and a transactional store of rows.
 //
-// The workers are divided into cells by their racks; a cell has workers of
-// every hall, so that a job finds the workers that its policy allows and that a
-// wide step finds room. Every instance is equal: it answers for every job, and
-// at most one instance holds the lease of a cell and drives it. One instance may
-// hold several.
+// The workers are divided into cells by rack. A cell has workers of every hall, so that a job
+// finds workers that its policy allows and a wide step finds enough room. All instances are
+// equal: each accepts and answers for every job. At most one instance at a time holds the lease
+// of a cell and schedules its jobs; one instance may own several cells.
 //
-// How many cells there are is decided once, by the number of workers, before the first
-// one has an owner.
+// The number of cells is derived once from the number of workers, before the first cell has an
+// owner, and never changes.
 //
-// Instances greet each other, owners everybody and others a few. A greeting says who
-// its sender is, whether it reaches the store, and how full the cells are that it owns.
-// Nothing is decided by greetings alone: they say whom to ask. Who holds a cell lease
-// is decided by the store, and what runs by the workers.
+// Instances exchange greetings, a gossip protocol: owners greet every instance, others greet a
+// few. A greeting carries the sender's identity, whether it reaches the store, and the load of
+// the cells that it owns. Greetings are hints about whom to ask; no decision rests on them
+// alone. The store decides who holds a cell lease, and the workers decide what runs.
 package cluster
--- a/cluster/elect.go
+++ b/cluster/elect.go
@@ -18,86 +18,87 @@
 )
 
 const (
-	electEvery = 60 * time.Millisecond
-	// firstLook is how long a new instance listens before it takes a free cell: enough to
-	// hear of an owner in its region, and short, as callers wait for it after a loss of power
-	// to all instances.
-	firstLook = 40 * time.Millisecond
-	// rankPause keeps the candidates for a cell apart, and strongerPause lets those
-	// with much more of a processor go first.
-	rankPause     = 30 * time.Millisecond
-	rankMost      = 8
-	strongerPause = 300 * time.Millisecond
-	// ownedPause is added for each cell that an instance owns already.
-	ownedPause = 300 * time.Millisecond
-	// watchAfter is how long an owner may not have been heard before its cell lease may
-	// be taken, if it is free or the owner's process is gone.
-	watchAfter = 450 * time.Millisecond
-	electTime  = 3 * time.Second
-	// ownerGoesOn is how long an owner may not have been heard before it gives no orders
-	// for the reason that all others answer it.
-	ownerGoesOn = answerWithin + claim.Margin
-	// startPause is for how long after its start an instance leaves cells to stronger
-	// ones that the store lists: as long as those take to start and to take a cell.
-	startPause = 700 * time.Millisecond
-	probeTime  = 250 * time.Millisecond
+	electInterval = 60 * time.Millisecond
+	// startupListenTime is how long a new instance listens before it claims a free cell: enough to
+	// hear an owner in its region, and short, as callers wait for it after a power loss of all
+	// instances.
+	startupListenTime = 40 * time.Millisecond
+	// rankDelay separates the candidates for a cell in time. strongerDelay lets candidates with a
+	// much larger processor share go first.
+	rankDelay     = 30 * time.Millisecond
+	maxRank       = 8
+	strongerDelay = 300 * time.Millisecond
+	// ownedCellDelay is added for each cell that an instance already owns.
+	ownedCellDelay = 300 * time.Millisecond
+	// ownerTimeout is how long an owner must not have been heard before its cell lease may be taken,
+	// provided that the lease is free or the owner's process is gone.
+	ownerTimeout = 450 * time.Millisecond
+	electTimeout = 3 * time.Second
+	// An owner that the store does not answer goes on giving orders while all other instances
+	// answer its greetings. ownerActiveTime is how long an owner must not have been heard until that
+	// can no longer be the case.
+	ownerActiveTime = answerMaxAge + claim.Margin
+	// startupDelay is how long after its start an instance leaves cells to stronger instances that
+	// the store lists: the time that those take to start and to claim a cell.
+	startupDelay     = 700 * time.Millisecond
+	dialProbeTimeout = 250 * time.Millisecond
 )
 
-// watched is what an instance knows of the last write of a cell's lease.
-type watched struct {
+// leaseWrite is the last known write of a cell's lease.
+type leaseWrite struct {
 	ver uint64
-	// since is when the write had surely been begun.
-	since time.Time
+	// begunBefore is a time at which the write had certainly begun.
+	begunBefore time.Time
 }
 
-// sawWrite notes that version ver of a cell lease had been written at since.
-func (n *Instance) sawWrite(name string, ver uint64, since time.Time) {
+// noteLeaseWrite records that the write of version ver of a cell lease had begun at the time since.
+func (n *Instance) noteLeaseWrite(name string, ver uint64, since time.Time) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if w := n.lastWrites[name]; ver > w.ver || (ver == w.ver && since.Before(w.since)) {
-		n.lastWrites[name] = watched{ver: ver, since: since}
+	if w := n.lastWrites[name]; ver > w.ver || (ver == w.ver && since.Before(w.begunBefore)) {
+		n.lastWrites[name] = leaseWrite{ver: ver, begunBefore: since}
 	}
 }
 
-// unwritten returns for how long a cell lease that stands at version ver has surely gone
-// unwritten.
-func (n *Instance) unwritten(name string, ver uint64, now time.Time) time.Duration {
-	n.sawWrite(name, ver, now)
+// watchedUnwritten returns for how long, at least, this instance has observed a cell lease to stay
+// at version ver.
+func (n *Instance) watchedUnwritten(name string, ver uint64, now time.Time) time.Duration {
+	n.noteLeaseWrite(name, ver, now)
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if w := n.lastWrites[name]; w.ver == ver {
-		return now.Sub(w.since)
+		return now.Sub(w.begunBefore)
 	}
 	return 0
 }
 
-// vacancy is what an instance knows of a cell whose owner is not heard.
+// vacancy is the state of a cell whose owner is not heard.
 type vacancy struct {
 	since time.Time
-	// trying says that this instance tries to take the cell lease.
-	trying atomic.Bool
+	// claiming is true while this instance tries to take the cell lease.
+	claiming atomic.Bool
 }
 
-// electLoop takes the lease of a cell whenever nobody else has it.
+// electLoop claims cells that have no live owner until ctx ends.
 func (n *Instance) electLoop(ctx context.Context) {
-	sleep(ctx, firstLook)
+	sleep(ctx, startupListenTime)
 	vacant := make(map[string]*vacancy)
 	for ctx.Err() == nil {
 		now := clock.Now()
-		if n.leaving.Load() || now.Before(n.restsUntil()) {
+		if n.leaving.Load() || now.Before(n.electionPause()) {
 			clear(vacant)
 		} else {
 			n.elect(ctx, vacant, now)
 		}
-		sleep(ctx, electEvery)
+		sleep(ctx, electInterval)
 	}
 }
 
-// elect looks at every cell once.
+// elect checks every cell once.
 func (n *Instance) elect(ctx context.Context, vacant map[string]*vacancy, now time.Time) {
-	newest := n.members.newest(now)
+	newest := n.members.cellsByName(now)
 	for _, name := range n.division.cells() {
-		if o, ok := newest[name]; n.own(name) != nil || (ok && o.drives(now, watchAfter)) {
+		if o, ok := newest[name]; n.ownDriver(name) != nil || (ok && o.activeWithin(now, ownerTimeout)) {
 			delete(vacant, name)
 			continue
 		}
@@ -106,12 +107,12 @@
 			v = &vacancy{since: now}
 			vacant[name] = v
 		}
-		if n.waitsForStronger(now) || now.Sub(v.since) < n.turn(name, now) || !v.trying.CompareAndSwap(false, true) {
+		if n.defersToStronger(now) || now.Sub(v.since) < n.electionDelay(name, now) || !v.claiming.CompareAndSwap(false, true) {
 			continue
 		}
 		go func() {
-			defer v.trying.Store(false)
-			n.tryTake(ctx, name)
+			defer v.claiming.Store(false)
+			n.tryTakeLease(ctx, name)
 		}()
 	}
 }
@@ -119,37 +120,37 @@
 // ownerHeard reports whether the owner of a cell was heard within a time.
 func (n *Instance) ownerHeard(name string, now time.Time, within time.Duration) bool {
 	o := n.members.owner(name, now)
-	return o != nil && o.drives(now, within)
+	return o != nil && o.activeWithin(now, within)
 }
 
-// turn returns how long this instance leaves a vacant cell to others that own none:
-// to those with much more of a processor, and to those that come before it by lot.
-func (n *Instance) turn(name string, now time.Time) time.Duration {
-	// Only some of the others are heard; the store lists all.
-	own, first, stronger := draw(name+"/"+n.settings.Instance), 0, n.members.listedAbove(n.enough())
+// electionDelay returns how long this instance leaves a vacant cell to instances that own none:
+// those with a much larger processor share, and those that precede it in an order drawn by hash.
+func (n *Instance) electionDelay(name string, now time.Time) time.Duration {
+	// Greetings reach only some of the others; the store lists all.
+	own, first, stronger := hash32(name+"/"+n.settings.Instance), 0, n.members.listedAbove(n.strongerThreshold())
 	for _, k := range n.members.list(now, (*member).free) {
-		stronger = stronger || k.processor > n.enough()
-		if k.processor >= n.processor() && draw(name+"/"+k.name) < own {
+		stronger = stronger || k.processor > n.strongerThreshold()
+		if k.processor >= n.processor() && hash32(name+"/"+k.name) < own {
 			first++
 		}
 	}
-	pause := time.Duration(min(first, rankMost)) * rankPause
+	pause := time.Duration(min(first, maxRank)) * rankDelay
 	if stronger {
-		pause += strongerPause
+		pause += strongerDelay
 	}
-	return pause + time.Duration(len(n.owned()))*ownedPause
+	return pause + time.Duration(len(n.ownCells()))*ownedCellDelay
 }
 
-// waitsForStronger reports whether this instance has just started and leaves cells to
-// much stronger ones that may be starting too, and that it has not heard yet. After a
-// loss of power to all, a weak owner would have to read the jobs only to yield.
-func (n *Instance) waitsForStronger(now time.Time) bool {
-	return now.Sub(n.began) < startPause && n.members.listedAbove(n.enough())
+// defersToStronger reports whether this instance has just started and leaves cells to much stronger
+// instances that may be starting too and were not heard yet. After a power loss of all instances a
+// weak owner would load the jobs only to yield the cell.
+func (n *Instance) defersToStronger(now time.Time) bool {
+	return now.Sub(n.startedAt) < startupDelay && n.members.listedAbove(n.strongerThreshold())
 }
 
-// tryTake takes the cell lease if its owner is gone.
-func (n *Instance) tryTake(ctx context.Context, name string) {
-	ctx, cancel := context.WithTimeout(ctx, electTime)
+// tryTakeLease takes the cell lease if its owner is gone.
+func (n *Instance) tryTakeLease(ctx context.Context, name string) {
+	ctx, cancel := context.WithTimeout(ctx, electTimeout)
 	defer cancel()
 	c := n.newClaim(name)
 	lease, err := c.Read(ctx)
@@ -157,9 +158,9 @@
 		return
 	}
 	now := clock.Now()
-	watched := n.unwritten(name, lease.Ver, now)
-	why := n.vacant(ctx, lease.Lease, n.goneUnwritten(lease, watched)-n.turn(name, now))
-	if why == "" || n.ownerHeard(name, clock.Now(), ownerGoesOn) {
+	watched := n.watchedUnwritten(name, lease.Ver, now)
+	why := n.vacancyReason(ctx, lease.Lease, n.knownUnwritten(lease, watched)-n.electionDelay(name, now))
+	if why == "" || n.ownerHeard(name, clock.Now(), ownerActiveTime) {
 		return
 	}
 	if err := c.Take(ctx, lease); err != nil {
@@ -169,7 +170,7 @@
 	n.kit.Scope.Tagged(map[string]string{"why": why}).Counter("cell_leases_taken_total").Inc(1)
 	level.Info(n.kit.Log).Log("event", "cell_lease_taken", "cell", name, "epoch", c.Epoch(), "before", lease.Owner, "why", why,
 		"unwritten_ms", lease.Unwritten.Milliseconds(), "watched_ms", watched.Milliseconds(), "absent", len(lease.Absent))
-	n.drive(name, c, formerGoesOn(why, lease.Lease, watched))
+	n.startDriver(name, c, formerOwnerTime(why, lease.Lease, watched))
 }
 
 // newClaim returns a claim of this instance to a cell.
@@ -181,8 +182,8 @@
 		Absent: func() []string {
 			now := clock.Now()
 			if now.Sub(begun) < absentAfter {
-				// Those that an instance hears seldom have not answered its greetings as an
-				// owner yet.
+				// Instances that are greeted rarely have not had time to answer greetings of this instance
+				// as an owner yet.
 				return nil
 			}
 			return n.members.absent(now)
@@ -190,69 +191,70 @@
 	}
 }
 
-// goneUnwritten returns for how long a lease has gone unwritten that was watched for so long.
-// The store's clock tells of the time before as well, for which callers wait otherwise. An instance that is new to the owner has to watch for the
-// whole time, since the store may be away for the owner alone, which then goes on without an
-// answer of those that it does not know.
-func (n *Instance) goneUnwritten(lease claim.Seen, watched time.Duration) time.Duration {
+// knownUnwritten returns for how long a lease has gone unwritten, given for how long it was watched.
+// The store's clock also covers the time before the first look, which otherwise callers would have
+// to wait out. An instance that owners do not know yet has to watch for the whole time: the store
+// may be away for the owner alone, which then goes on without answers of instances that it does not
+// know.
+func (n *Instance) knownUnwritten(lease claim.Seen, watched time.Duration) time.Duration {
 	if !n.listed.Load() {
 		return watched
 	}
 	return max(watched, lease.Unwritten)
 }
 
-// Why a cell lease may be taken: its owner's address refuses connections, or it went
-// unwritten for longer than its owner goes on.
+// Reasons why a cell lease may be taken: its owner's address refuses connections, or it went
+// unwritten for longer than its owner may go on.
 const (
-	whyGone   = "owner's process is gone"
-	whySilent = "owner silent"
+	reasonOwnerGone   = "owner's process is gone"
+	reasonOwnerSilent = "owner silent"
 )
 
-// formerGoesOn returns for how long after the taking of a lease its former owner may give
+// formerOwnerTime returns for how long after a lease was taken its former owner may still give
 // orders.
-func formerGoesOn(why string, lease claim.Lease, watched time.Duration) time.Duration {
+func formerOwnerTime(why string, lease claim.Lease, watched time.Duration) time.Duration {
 	switch {
-	case why == whyGone:
-		// It may be behind a cut that refuses connections.
+	case why == reasonOwnerGone:
+		// The owner may be behind a cut in the network that refuses connections.
 		return lease.Silence()
-	case why == whySilent && watched < lease.Silence():
-		// The former life of this instance may have answered it a moment ago.
+	case why == reasonOwnerSilent && watched < lease.Silence():
+		// An earlier process of this instance may have answered the owner's greeting a moment ago.
 		return claim.Margin
 	}
 	return 0
 }
 
-// vacant returns why a cell lease may be taken, "" if it may not.
-func (n *Instance) vacant(ctx context.Context, lease claim.Lease, unwritten time.Duration) string {
+// vacancyReason returns why a cell lease may be taken, "" if it may not.
+func (n *Instance) vacancyReason(ctx context.Context, lease claim.Lease, unwritten time.Duration) string {
 	switch {
 	case lease.Owner == "":
 		return "free"
 	case lease.Owner == n.settings.Instance:
 		return "was this instance's before"
 	case unwritten > lease.SilenceFor(n.settings.Instance):
-		return whySilent
+		return reasonOwnerSilent
 	}
 	heard := n.members.list(clock.Now(), func(k *member) bool { return k.name == lease.Owner })
 	if len(heard) > 0 && heard[0].boot != lease.Boot {
 		return "owner has started anew"
 	}
 	if slices.Contains(lease.Absent, n.settings.Instance) {
-		// The refusal may come of the cut that keeps this instance from its owner.
+		// The refusal may come from the network cut that separates this instance from the owner.
 		return ""
 	}
-	// An address behind a cut says nothing: it is asked no longer than the lease is left,
-	// or the look that finds the lease over comes that much later.
-	ctx, cancel := context.WithTimeout(ctx, lease.Silence()-unwritten+electEvery/2)
+	// An address behind a network cut does not answer. It is dialed no longer than the lease still runs, so
+	// that the check that finds the lease over is not delayed by the dial timeout.
+	ctx, cancel := context.WithTimeout(ctx, lease.Silence()-unwritten+electInterval/2)
 	defer cancel()
-	if n.refused(ctx, lease.Addr) {
-		return whyGone
+	if n.refusesConnections(ctx, lease.Addr) {
+		return reasonOwnerGone
 	}
 	return ""
 }
 
-// refused reports whether nobody listens at an address.
-func (n *Instance) refused(ctx context.Context, addr string) bool {
-	c, err := sock.Dialer(probeTime).DialContext(ctx, "tcp", addr)
+// refusesConnections reports whether nobody listens at an address.
+func (n *Instance) refusesConnections(ctx context.Context, addr string) bool {
+	c, err := sock.Dialer(dialProbeTimeout).DialContext(ctx, "tcp", addr)
 	if err == nil {
 		_ = c.Close()
 		return false
--- a/cluster/ends.go
+++ b/cluster/ends.go
@@ -10,79 +10,78 @@
 )
 
 const (
-	// endsMost bounds the ends that are remembered and endsAtOnce those that one greeting
-	// tells: as many as the design size has in an outage of a minute, and in 3 s.
-	endsMost   = 20_000
-	endsAtOnce = 1024
-	// endsKept is for how long an end is remembered at the least: longer than outages of the
-	// store are to last, after which it knows.
-	endsKept = 5 * time.Minute
-	// endTold is how often the same owner is told of an end: an answer to a greeting may be
-	// lost, and two in a row hardly are.
-	endTold = 3
+	// maxSuccesses limits the jobs that are remembered, and maxSuccessesPerGreeting those in one
+	// greeting: as many as end at the design size in an outage of a minute, and in 3 s.
+	maxSuccesses            = 20_000
+	maxSuccessesPerGreeting = 1024
+	// successRetention is the minimum time for which a job is remembered: longer than outages of
+	// the store are expected to last, after which the store has the end.
+	successRetention = 5 * time.Minute
+	// successRepeats is how often the same owner is told of a job: the answer to a greeting may be
+	// lost, but hardly two in a row.
+	successRepeats = 3
 )
 
-// ends are the jobs of which owners have said that they succeeded before the store kept
-// that. They are for the next owner, which reads the store, and for callers while no owner
-// is heard.
-type ends struct {
-	mu    sync.Mutex
-	known map[string]*end
-	// last are those that were known before known was full, or begun.
-	last  map[string]*end
-	begun time.Time
+// reportedSuccesses are the jobs that owners have reported as succeeded before the store had their
+// end. They are for the next owner, which loads the jobs from the store, and for callers while no
+// owner is heard. The zero value is empty.
+type reportedSuccesses struct {
+	mu      sync.Mutex
+	current map[string]*reportedSuccess
+	// previous is the former current, replaced when that is full or old (begun is its start).
+	previous map[string]*reportedSuccess
+	begun    time.Time
 }
 
-// end is what is known of one of them.
-type end struct {
-	// source is the boot of the instance that said so, and to the boot of an owner that was
-	// told of it so many times.
-	source string
-	to     string
-	told   int
+// reportedSuccess is one of these jobs.
+type reportedSuccess struct {
+	// reportedBy is the boot of the instance that reported the job. toldTo is the boot of the last
+	// owner that was told of it, toldCount times.
+	reportedBy string
+	toldTo     string
+	toldCount  int
 }
 
-// hear takes in what an instance says.
-func (e *ends) hear(ids []string, source string, now time.Time) {
+// add records jobs reported by an instance.
+func (e *reportedSuccesses) add(ids []string, source string, now time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for _, id := range ids {
 		if e.get(id) == nil {
-			e.age(now)
-			e.known[id] = &end{source: source}
+			e.rotate(now)
+			e.current[id] = &reportedSuccess{reportedBy: source}
 		}
 	}
 }
 
-// age lets the older half go once the newer one is full, or was begun long ago. The lock is
-// held.
-func (e *ends) age(now time.Time) {
-	if e.known == nil || len(e.known) >= endsMost/2 || now.Sub(e.begun) > endsKept {
-		e.known, e.last, e.begun = make(map[string]*end), e.known, now
+// rotate drops the older half once the newer one is full or old. The caller must hold e.mu.
+func (e *reportedSuccesses) rotate(now time.Time) {
+	if e.current == nil || len(e.current) >= maxSuccesses/2 || now.Sub(e.begun) > successRetention {
+		e.current, e.previous, e.begun = make(map[string]*reportedSuccess), e.current, now
 	}
 }
 
-// get returns what is known of a job. The lock is held.
-func (e *ends) get(id string) *end {
-	if x := e.known[id]; x != nil {
+// get returns what is known of a job, nil if nothing. The caller must hold e.mu.
+func (e *reportedSuccesses) get(id string) *reportedSuccess {
+	if x := e.current[id]; x != nil {
 		return x
 	}
-	return e.last[id]
+	return e.previous[id]
 }
 
 // has reports whether a job is known to have succeeded.
-func (e *ends) has(id string) bool {
+func (e *reportedSuccesses) has(id string) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.get(id) != nil
 }
 
-// all returns the jobs that are known.
-func (e *ends) all() []string {
+// all returns all remembered jobs.
+func (e *reportedSuccesses) all() []string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	out := make([]string, 0, len(e.known)+len(e.last))
-	for _, m := range []map[string]*end{e.known, e.last} {
+	out := make([]string, 0, len(e.current)+len(e.previous))
+	for _, m := range []map[string]*reportedSuccess{e.current, e.previous} {
 		for id := range m {
 			out = append(out, id)
 		}
@@ -90,19 +89,19 @@
 	return out
 }
 
-// forOwner returns what an owner should be told: what others have said, a few times.
-func (e *ends) forOwner(boot string, now time.Time) []string {
+// forOwner returns the jobs to tell an owner of: those that others have reported, each a few times.
+func (e *reportedSuccesses) forOwner(boot string, now time.Time) []string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.age(now)
+	e.rotate(now)
 	var out []string
-	for _, m := range []map[string]*end{e.known, e.last} {
+	for _, m := range []map[string]*reportedSuccess{e.current, e.previous} {
 		for id, x := range m {
-			if x.to != boot {
-				x.to, x.told = boot, 0
+			if x.toldTo != boot {
+				x.toldTo, x.toldCount = boot, 0
 			}
-			if x.source != boot && x.told < endTold && len(out) < endsAtOnce {
-				x.told++
+			if x.reportedBy != boot && x.toldCount < successRepeats && len(out) < maxSuccessesPerGreeting {
+				x.toldCount++
 				out = append(out, id)
 			}
 		}
@@ -110,32 +109,33 @@
 	return out
 }
 
-// unkept returns the jobs of own cells that others should be told of.
-func (n *Instance) unkept(now time.Time) []string {
+// unstoredSuccesses returns the jobs of own cells that have succeeded but whose end is not stored yet,
+// for the next greeting.
+func (n *Instance) unstoredSuccesses(now time.Time) []string {
 	var out []string
-	for _, c := range n.owned() {
+	for _, c := range n.ownCells() {
 		out = append(out, c.driver.Unkept(now)...)
 	}
 	return out
 }
 
-// shared notes that another instance was told that these jobs have succeeded.
-func (n *Instance) shared(ids []string) {
+// markShared records that another instance was told that these jobs have succeeded.
+func (n *Instance) markShared(ids []string) {
 	if len(ids) == 0 {
 		return
 	}
-	for _, c := range n.owned() {
+	for _, c := range n.ownCells() {
 		c.driver.Shared(ids)
 	}
 }
 
-// heardEnds takes in the jobs of which a greeting says that they succeeded.
-func (n *Instance) heardEnds(ids []string, source string) {
+// applySuccesses records the jobs that a greeting reports as succeeded.
+func (n *Instance) applySuccesses(ids []string, source string) {
 	if len(ids) == 0 {
 		return
 	}
-	n.ends.hear(ids, source, clock.Now())
-	for _, c := range n.owned() {
+	n.successes.add(ids, source, clock.Now())
+	for _, c := range n.ownCells() {
 		c.driver.Heard(ids)
 	}
 }
--- a/cluster/ends_test.go
+++ b/cluster/ends_test.go
@@ -19,26 +19,26 @@
 	"dewpass.org/wire"
 )
 
-var _ = Describe("the end of a job that an owner tells of", func() {
-	It("is passed on to the next owner, a few times, and not to the one that said it", func() {
-		var e ends
+var _ = Describe("a job that an owner reports as succeeded", func() {
+	It("is reported to the next owner a few times, and not to the one that reported it", func() {
+		var e reportedSuccesses
 		now := time.Now()
-		e.hear([]string{"j"}, "first", now)
+		e.add([]string{"j"}, "first", now)
 		Expect(e.forOwner("first", now)).To(BeEmpty())
-		for range endTold {
+		for range successRepeats {
 			Expect(e.forOwner("second", now)).To(Equal([]string{"j"}))
 		}
 		Expect(e.forOwner("second", now)).To(BeEmpty())
 		Expect(e.forOwner("third", now)).To(Equal([]string{"j"}))
 		Expect(e.all()).To(Equal([]string{"j"}))
-		for _, age := range []time.Duration{endsKept + 1, 2*endsKept + 2} {
+		for _, age := range []time.Duration{successRetention + 1, 2*successRetention + 2} {
 			e.forOwner("third", now.Add(age))
 		}
-		Expect(e.all()).To(BeEmpty(), "the store knows by now")
+		Expect(e.all()).To(BeEmpty(), "the store has the end by now")
 	})
 
-	It("is passed on in the answer to an owner's greeting", func() {
-		n := testInstance(&policy{})
+	It("is reported in the answer to an owner's greeting", func() {
+		n := testInstance(&fakePolicy{})
 		owner := func(boot string) *wire.Greeting {
 			return &wire.Greeting{Instance: boot, Hall: "h", Boot: boot, Addr: boot, Cells: []*wire.CellSummary{{Name: "cell-0"}}}
 		}
@@ -50,44 +50,44 @@
 		Expect(n.handleGreeting(other).GetGreeting().GetSucceeded()).To(BeEmpty(), "it owns nothing")
 	})
 
-	It("is shown while its owner is not heard", func(ctx context.Context) {
-		n := testInstance(&policy{})
+	It("is shown as succeeded while its owner is not heard", func(ctx context.Context) {
+		n := testInstance(&fakePolicy{})
 		n.division.set(1)
-		n.storeClient.Direct = busy{}
+		n.storeClient.Direct = unavailableStore{}
 		n.storeClient.Carry = nil
-		n.heardEnds([]string{"j"}, "owner")
+		n.applySuccesses([]string{"j"}, "owner")
 		Expect(n.State(ctx, "j")).To(Equal(flow.Succeeded))
 	})
 
-	It("is forgotten when there are too many, the oldest first", func() {
-		var e ends
+	It("is evicted when there are too many, the oldest first", func() {
+		var e reportedSuccesses
 		now := time.Now()
-		for i := range endsMost/2 + 1 {
-			e.hear([]string{fmt.Sprint(i)}, "o", now)
+		for i := range maxSuccesses/2 + 1 {
+			e.add([]string{fmt.Sprint(i)}, "o", now)
 		}
 		Expect(e.has("0")).To(BeTrue())
-		for i := range endsMost / 2 {
-			e.hear([]string{fmt.Sprint("more", i)}, "o", now)
+		for i := range maxSuccesses / 2 {
+			e.add([]string{fmt.Sprint("more", i)}, "o", now)
 		}
 		Expect(e.has("0")).To(BeFalse())
-		Expect(len(e.all())).To(BeNumerically("<=", endsMost))
+		Expect(len(e.all())).To(BeNumerically("<=", maxSuccesses))
 	})
 })
 
-// What happened: an instance was lost for good, and 15 s later the store gave no answers for
-// 4.2 s. The owner goes on through that as long as all whom it has heard answer it, since
-// any of them could take its cell. The lost one did not, so that nothing started and no
-// lease was renewed until the store was back.
-var _ = Describe("an instance that is lost before the store is", func() {
+// Guards against one lost instance stopping an owner. An owner that the store does not answer goes on
+// as long as all instances it has heard answer it, since any of them could take its cell. An instance
+// was lost for good, and 15 s later the store did not answer for 4.2 s: the lost instance did not
+// answer, so that nothing started and no lease was renewed until the store was back.
+var _ = Describe("an instance that is lost before the store is unavailable", func() {
 	lost := func() (*Instance, time.Time) {
-		n := testInstance(&policy{})
+		n := testInstance(&fakePolicy{})
 		now := time.Now()
 		for _, name := range []string{"a", "b", "gone"} {
-			n.members.heard(&wire.Greeting{Instance: name, Hall: "h", Boot: name, Addr: name}, now.Add(-10*time.Second))
+			n.members.applyGreeting(&wire.Greeting{Instance: name, Hall: "h", Boot: name, Addr: name}, now.Add(-10*time.Second))
 		}
 		for _, name := range []string{"a", "b"} {
-			n.members.heard(&wire.Greeting{Instance: name, Hall: "h", Boot: name, Addr: name}, now)
-			n.members.answer(name, now)
+			n.members.applyGreeting(&wire.Greeting{Instance: name, Hall: "h", Boot: name, Addr: name}, now)
+			n.members.markAnswered(name, now)
 		}
 		return n, now
 	}
@@ -95,14 +95,14 @@
 	It("is named in the cell lease as absent, and need not answer for a while", func() {
 		n, now := lost()
 		Expect(n.members.absent(now)).To(Equal([]string{"gone"}))
-		Expect(n.members.allAnswer(now, nil)).To(BeFalse())
+		Expect(n.members.allAnswered(now, nil)).To(BeFalse())
 		last := claim.Write{Begun: now.Add(-claim.AbsentWait / 2), Absent: []string{"gone"}}
-		Expect(n.heardByAll(last)).To(BeTrue())
+		Expect(n.answeredByAll(last)).To(BeTrue())
 		last.Begun = now.Add(-claim.AbsentWait)
-		Expect(n.heardByAll(last)).To(BeFalse(), "it may take the cell from now on")
+		Expect(n.answeredByAll(last)).To(BeFalse(), "the absent instance may take the cell from now on")
 	})
 
-	It("is not named where half of the instances are not heard: the owner may be cut off", func() {
+	It("is not named if half of the instances are not heard, as the owner may be cut off", func() {
 		n, now := lost()
 		Expect(n.members.absent(now.Add(absentAfter + 1))).To(BeEmpty())
 	})
@@ -112,46 +112,47 @@
 		Expect(n.newClaim("c").Absent()).To(BeEmpty())
 	})
 
-	It("takes the cell only long after those that were heard", func(ctx context.Context) {
-		n := testInstance(&policy{})
+	It("may take the cell only long after the instances that were heard", func(ctx context.Context) {
+		n := testInstance(&fakePolicy{})
 		lease := claim.Lease{Owner: "other", Boot: "b", Addr: "127.0.0.1:1", ValidMS: 400, Absent: []string{"me"}}
-		Expect(n.vacant(ctx, lease, lease.Silence()+1)).To(BeEmpty(), "though nobody listens at its owner's address")
-		Expect(n.vacant(ctx, lease, lease.Silence()+claim.AbsentWait+1)).To(Equal(whySilent))
+		Expect(n.vacancyReason(ctx, lease, lease.Silence()+1)).To(BeEmpty(), "though nobody listens at its owner's address")
+		Expect(n.vacancyReason(ctx, lease, lease.Silence()+claim.AbsentWait+1)).To(Equal(reasonOwnerSilent))
 		lease.Absent = []string{"x"}
-		Expect(n.vacant(ctx, lease, lease.Silence()+1)).To(Equal(whySilent))
+		Expect(n.vacancyReason(ctx, lease, lease.Silence()+1)).To(Equal(reasonOwnerSilent))
 	})
 })
 
-// fullOwner returns an instance that owns a cell with a job, on a store that takes nothing
-// more. done says whether all tasks of the job are done.
-func fullOwner(ctx context.Context, done bool) (*Instance, *driver.Driver) {
+// ownerOnFullStore returns an instance that owns a cell with one job, on a store that accepts no more
+// writes. done says whether all tasks of the job are done.
+func ownerOnFullStore(ctx context.Context, done bool) (*Instance, *driver.Driver) {
 	GinkgoHelper()
 	n, s := instanceOnOwnedStore()
-	s.full = 1
+	s.fullAfter = 1
 	rec := &flow.Record{State: flow.Running, Stages: make([]flow.StageRecord, 1)}
 	if done {
 		rec.Stages[0].Done.Set(0)
 	}
-	s.table[driver.SpecKey("a1")] = flow.Encode(&flow.Spec{ID: "a1", Cell: "cell-0", Steps: []flow.Step{{Count: 1}}})
-	s.table[driver.RecordKey("cell-0", "a1")] = flow.Encode(rec)
-	n.tryTake(ctx, "cell-0")
-	d := n.own("cell-0")
+	s.readOnlyStore[driver.SpecKey("a1")] = flow.Encode(&flow.Spec{ID: "a1", Cell: "cell-0", Steps: []flow.Step{{Count: 1}}})
+	s.readOnlyStore[driver.RecordKey("cell-0", "a1")] = flow.Encode(rec)
+	n.tryTakeLease(ctx, "cell-0")
+	d := n.ownDriver("cell-0")
 	Expect(d).NotTo(BeNil())
 	DeferCleanup(func() { n.dropDriver("cell-0", d) })
 	Eventually(d.Loaded).Should(BeTrue())
 	return n, d
 }
 
-// answering is a peer that answers greetings once it is told to, and keeps what they tell of.
-type answering struct {
-	told    chan []string
-	answers *atomic.Bool
+// answeringPeer records the jobs that greetings report as succeeded. It answers greetings only while
+// answers is true.
+type answeringPeer struct {
+	reported chan []string
+	answers  *atomic.Bool
 }
 
-func (a answering) Handle(_ context.Context, req *wire.Request) *wire.Reply {
+func (a answeringPeer) Handle(_ context.Context, req *wire.Request) *wire.Reply {
 	if ids := req.GetGreeting().GetSucceeded(); len(ids) > 0 {
 		select {
-		case a.told <- ids:
+		case a.reported <- ids:
 		default:
 		}
 	}
@@ -161,7 +162,7 @@
 	return &wire.Reply{Body: &wire.Reply_Greeting{Greeting: &wire.Greeting{Instance: "peer", Hall: "h", Boot: "b"}}}
 }
 
-var _ = Describe("an owner whose store takes nothing", func() {
+var _ = Describe("an owner whose store accepts no writes", func() {
 	state := func(d *driver.Driver) func() flow.State {
 		return func() flow.State {
 			s, _ := d.State("a1")
@@ -169,30 +170,30 @@
 		}
 	}
 
-	It("shows that a job has succeeded when a peer says so", func(ctx context.Context) {
-		n, d := fullOwner(ctx, false)
+	It("shows that a job has succeeded when a peer reports it", func(ctx context.Context) {
+		n, d := ownerOnFullStore(ctx, false)
 		Expect(state(d)()).To(Equal(flow.Running))
-		n.heardEnds([]string{"a1"}, "peer")
+		n.applySuccesses([]string{"a1"}, "peer")
 		Expect(state(d)()).To(Equal(flow.Succeeded))
 	})
 
-	It("shows that a job has succeeded once a peer has answered the greeting that tells it", func(ctx context.Context) {
-		n, d := fullOwner(ctx, true)
-		a := answering{told: make(chan []string, 1), answers: new(atomic.Bool)}
+	It("shows that a job has succeeded once a peer has answered the greeting that reports it", func(ctx context.Context) {
+		n, d := ownerOnFullStore(ctx, true)
+		a := answeringPeer{reported: make(chan []string, 1), answers: new(atomic.Bool)}
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
 		server := &link.Server{Handler: a}
 		go server.Serve(l)
 		DeferCleanup(server.Close)
-		n.members.heard(&wire.Greeting{Instance: "peer", Hall: "h", Boot: "b", Addr: l.Addr().String()}, time.Now())
-		// The cell lease is over soon: the owner goes on as long as its only peer answers.
+		n.members.applyGreeting(&wire.Greeting{Instance: "peer", Hall: "h", Boot: "b", Addr: l.Addr().String()}, time.Now())
+		// The cell lease expires soon; the owner goes on as long as its only peer answers.
 		greet := func() {
-			n.members.answer("peer", time.Now())
+			n.members.markAnswered("peer", time.Now())
 			n.greet(ctx)
 		}
-		Eventually(func() []string { greet(); return n.unkept(time.Now()) }).Should(Equal([]string{"a1"}))
-		Eventually(func() chan []string { greet(); return a.told }).Should(Receive(Equal([]string{"a1"})))
-		Expect(state(d)()).To(Equal(flow.Running), "no peer is known to have heard it")
+		Eventually(func() []string { greet(); return n.unstoredSuccesses(time.Now()) }).Should(Equal([]string{"a1"}))
+		Eventually(func() chan []string { greet(); return a.reported }).Should(Receive(Equal([]string{"a1"})))
+		Expect(state(d)()).To(Equal(flow.Running), "no peer is known to have received the report")
 		a.answers.Store(true)
 		Eventually(func() flow.State { greet(); return state(d)() }).Should(Equal(flow.Succeeded))
 	})
@@ -208,26 +209,26 @@
 		s.lease = claim.Lease{Owner: "other", Boot: "b", Addr: l.Addr().String(), ValidMS: 400, WrittenMS: 7000}
 		s.clock = 60_000
 		g := &wire.Greeting{Instance: "other", Hall: "h", Boot: "b", Addr: l.Addr().String(), Cells: []*wire.CellSummary{{Name: "cell-0"}}}
-		n.members.heard(g, time.Now().Add(-ownerGoesOn/2))
-		n.tryTake(ctx, "cell-0")
-		Expect(n.own("cell-0")).To(BeNil(), "the store may be away for it alone")
-		n.members.heard(g, time.Now().Add(-ownerGoesOn))
-		n.tryTake(ctx, "cell-0")
-		Expect(n.own("cell-0")).NotTo(BeNil())
-		n.dropDriver("cell-0", n.own("cell-0"))
+		n.members.applyGreeting(g, time.Now().Add(-ownerActiveTime/2))
+		n.tryTakeLease(ctx, "cell-0")
+		Expect(n.ownDriver("cell-0")).To(BeNil(), "the store may be unavailable to the owner alone")
+		n.members.applyGreeting(g, time.Now().Add(-ownerActiveTime))
+		n.tryTakeLease(ctx, "cell-0")
+		Expect(n.ownDriver("cell-0")).NotTo(BeNil())
+		n.dropDriver("cell-0", n.ownDriver("cell-0"))
 	})
 
-	It("does not name as absent whom it has heard lately, though they answer seldom", func() {
-		n := testInstance(&policy{})
+	It("does not name instances as absent that it has heard lately, though they answer rarely", func() {
+		n := testInstance(&fakePolicy{})
 		now := time.Now()
 		for _, name := range []string{"a", "b", "c"} {
-			n.members.heard(&wire.Greeting{Instance: name, Hall: "h", Boot: name, Addr: name}, now.Add(-absentAfter/2))
+			n.members.applyGreeting(&wire.Greeting{Instance: name, Hall: "h", Boot: name, Addr: name}, now.Add(-absentAfter/2))
 		}
-		n.members.answer("a", now)
-		n.members.answer("b", now)
+		n.members.markAnswered("a", now)
+		n.members.markAnswered("b", now)
 		Expect(n.members.absent(now)).To(BeEmpty())
 		Expect(n.members.absent(now.Add(absentAfter - 1))).To(Equal([]string{"c"}))
-		n.members.heard(&wire.Greeting{Instance: "long gone", Hall: "h", Boot: "g", Addr: "g"}, now.Add(-answerWhile))
-		Expect(n.members.absent(now.Add(absentAfter-1))).To(Equal([]string{"c"}), "its answer is not waited for anyway")
+		n.members.applyGreeting(&wire.Greeting{Instance: "long gone", Hall: "h", Boot: "g", Addr: "g"}, now.Add(-memberWindow))
+		Expect(n.members.absent(now.Add(absentAfter-1))).To(Equal([]string{"c"}), "its answer is not needed anyway")
 	})
 })
--- a/cluster/fleet_test.go
+++ b/cluster/fleet_test.go
@@ -14,35 +14,35 @@
 	"dewpass.org/wire"
 )
 
-// What all instances read grows with the square of their number unless each reads it the
-// seldomer the more there are: 147 read 0.6 MB/s of their own list and 0.2 MB/s of a
-// configuration that had not changed, 40% of all that was read of the store.
+// What all instances read together grows with the square of their number, unless each reads less
+// often the more there are. 147 instances read 0.6 MB/s of the list of instances and 0.2 MB/s of an
+// unchanged configuration, 40% of all reads of the store.
 var _ = Describe("what every instance of a large fleet reads", func() {
-	It("is the list of instances, the seldomer the longer it is", func() {
-		Expect(membersPause(1)).To(Equal(membersSoon))
-		Expect(membersPause(2)).To(Equal(membersEvery))
-		Expect(membersPause(membersFew)).To(Equal(membersEvery))
-		Expect(membersPause(4 * membersFew)).To(Equal(4 * membersEvery))
-		Expect(membersPause(10_000)).To(Equal(membersMost))
+	It("is the list of instances, less often the longer it is", func() {
+		Expect(membersReadPause(1)).To(Equal(membersRetryPause))
+		Expect(membersReadPause(2)).To(Equal(membersReadInterval))
+		Expect(membersReadPause(smallFleet)).To(Equal(membersReadInterval))
+		Expect(membersReadPause(4 * smallFleet)).To(Equal(4 * membersReadInterval))
+		Expect(membersReadPause(10_000)).To(Equal(maxMembersReadInterval))
 	})
 
-	It("is the whole configuration, in turn with the others of its hall", func() {
+	It("is the whole configuration, taking turns with the others of its hall", func() {
 		n := testInstance(nil)
 		now := time.Now()
-		Expect(auditors(n.members.inHall(now))).To(Equal(1))
-		for i := range 3 * auditTeam {
+		Expect(fullReadDivisor(n.members.liveInHall(now))).To(Equal(1))
+		for i := range 3 * fullReadRedundancy {
 			name := fmt.Sprintf("i%d", i)
-			n.members.heard(&wire.Greeting{Instance: name, Hall: "h", Boot: "b", Addr: name}, now)
-			n.members.heard(&wire.Greeting{Instance: "far" + name, Hall: "other", Boot: "b", Addr: "far" + name}, now)
+			n.members.applyGreeting(&wire.Greeting{Instance: name, Hall: "h", Boot: "b", Addr: name}, now)
+			n.members.applyGreeting(&wire.Greeting{Instance: "far" + name, Hall: "other", Boot: "b", Addr: "far" + name}, now)
 		}
-		Expect(auditors(n.members.inHall(now))).To(Equal(3))
-		Expect(auditors(n.members.inHall(now.Add(2*silence)))).To(Equal(1), "an instance that hears nobody reads by itself")
+		Expect(fullReadDivisor(n.members.liveInHall(now))).To(Equal(3))
+		Expect(fullReadDivisor(n.members.liveInHall(now.Add(2*sameHallTimeout)))).To(Equal(1), "an instance that hears nobody reads on its own")
 	})
 })
 
 var _ = Describe("the division into cells", func() {
-	It("does not count entries that name no worker", func() {
+	It("does not count entries without a usable worker", func() {
 		all := []driver.Entry{{}, {Bad: "state"}, {Worker: cell.Worker{Gone: true}}, {}}
-		Expect(usable(all)).To(Equal(2))
+		Expect(countUsable(all)).To(Equal(2))
 	})
 })
--- a/cluster/greet.go
+++ b/cluster/greet.go
@@ -22,29 +22,30 @@
 )
 
 const (
-	// An owner greets every greetEvery, another instance every restEvery.
-	greetEvery = 250 * time.Millisecond
-	restEvery  = 2 * greetEvery
-	greetTime  = 600 * time.Millisecond
-	// tableMembers lists the instances and their addresses.
-	tableMembers = "members"
-	membersEvery = 5 * time.Second
-	// Up to membersFew instances read the list that often. What is read grows with the square
-	// of their number: 147 that read it every 5 s read 0.6 MB/s, a third of all that is read
-	// of the store. One that starts writes itself into the list, reads it, and greets, so
-	// that the others need it only if they heard no greeting.
-	membersFew  = 30
-	membersMost = 30 * time.Second
-	membersSoon = 300 * time.Millisecond
+	// An owner greets every ownerGreetInterval, another instance every idleGreetInterval.
+	ownerGreetInterval = 250 * time.Millisecond
+	idleGreetInterval  = 2 * ownerGreetInterval
+	greetTimeout       = 600 * time.Millisecond
+	// membersTable is the table with the list of instances and their addresses.
+	membersTable        = "members"
+	membersReadInterval = 5 * time.Second
+	// Up to smallFleet instances each read the list every membersReadInterval, more of them
+	// accordingly less often: what is read grows with the square of their number. 147 instances that
+	// read it every 5 s read 0.6 MB/s, a third of all reads of the store. An instance that starts
+	// writes itself into the list, reads it and greets, so that the others need the list only if
+	// they heard no greeting.
+	smallFleet             = 30
+	maxMembersReadInterval = 30 * time.Second
+	membersRetryPause      = 300 * time.Millisecond
 )
 
-// greeting says who this instance is.
+// greeting returns this instance's greeting.
 func (n *Instance) greeting() *wire.Greeting {
 	g := &wire.Greeting{
 		Instance: n.settings.Instance, Hall: n.settings.Hall, Boot: n.boot, Addr: n.settings.Listen.Peer,
 		Processor: n.processor(), Leaving: n.leaving.Load(), ConfigVersion: n.config.Version(), StoreOk: n.storeClient.DirectOK(),
 	}
-	for name, c := range n.owned() {
+	for name, c := range n.ownCells() {
 		d, written := c.driver, c.claim.Written()
 		load := d.Load()
 		sum := &wire.CellSummary{
@@ -56,11 +57,11 @@
 		sum.Halls = hallRooms(load)
 		g.Cells = append(g.Cells, sum)
 	}
-	g.Succeeded = n.unkept(clock.Now())
+	g.Succeeded = n.unstoredSuccesses(clock.Now())
 	return g
 }
 
-// pendingOf returns how many jobs of each queue wait.
+// pendingOf returns the number of pending jobs of each queue.
 func pendingOf(load cell.Load) []*wire.QueuePending {
 	out := make([]*wire.QueuePending, 0, len(load.Pending))
 	for q, jobs := range load.Pending {
@@ -69,7 +70,7 @@
 	return out
 }
 
-// hallRooms returns what is free in each hall, by name.
+// hallRooms returns the free room of each hall, sorted by name.
 func hallRooms(load cell.Load) []*wire.HallRoom {
 	halls := make([]*wire.HallRoom, 0, len(load.Halls))
 	for _, name := range slices.Sorted(maps.Keys(load.Halls)) {
@@ -78,78 +79,79 @@
 	return halls
 }
 
-// processor returns the share of a processor, in thousandths.
+// processor returns this instance's share of a processor, in thousandths.
 func (n *Instance) processor() uint32 { return uint32(n.settings.Cluster.Processor * 1000) }
 
-// greetLoop greets the others until ctx ends.
+// greetLoop greets other instances until ctx ends.
 func (n *Instance) greetLoop(ctx context.Context) {
 	last := time.Time{}
 	for ctx.Err() == nil {
 		now := clock.Now()
-		if len(n.owned()) > 0 || now.Sub(last) >= restEvery-greetEvery/2 {
+		if len(n.ownCells()) > 0 || now.Sub(last) >= idleGreetInterval-ownerGreetInterval/2 {
 			last = now
 			n.greet(ctx)
 		}
-		sleep(ctx, greetEvery)
+		sleep(ctx, ownerGreetInterval)
 	}
 }
 
-// greet greets everybody if this instance owns a cell, since an owner's silence is
-// noticed, and those whose turn it is if it does not.
+// greet sends one round of greetings. If this instance owns a cell it greets everybody, so that the
+// silence of an owner is noticed; otherwise it greets those whose turn it is.
 func (n *Instance) greet(ctx context.Context) {
 	req := &wire.Request{Body: &wire.Request_Greeting{Greeting: n.greeting()}}
-	for _, addr := range n.targets(clock.Now()) {
+	for _, addr := range n.greetTargets(clock.Now()) {
 		go n.greetOne(ctx, addr, req)
 	}
 }
 
-// targets returns the addresses to greet.
-func (n *Instance) targets(now time.Time) []string {
-	if len(n.owned()) > 0 {
-		return n.members.all(now)
+// greetTargets returns the addresses to greet.
+func (n *Instance) greetTargets(now time.Time) []string {
+	if len(n.ownCells()) > 0 {
+		return n.members.allAddrs(now)
 	}
-	return n.members.round(now)
+	return n.members.nextRound(now)
 }
 
 func (n *Instance) greetOne(ctx context.Context, addr string, req *wire.Request) {
-	ctx, cancel := context.WithTimeout(ctx, greetTime)
+	ctx, cancel := context.WithTimeout(ctx, greetTimeout)
 	defer cancel()
 	sent := clock.Now()
 	reply, err := n.dialer.Do(ctx, addr, req)
 	if err == nil {
-		n.shared(req.GetGreeting().GetSucceeded())
-		n.greeted(reply.GetGreeting())
-		n.members.answer(reply.GetGreeting().GetInstance(), sent)
+		n.markShared(req.GetGreeting().GetSucceeded())
+		n.applyGreeting(reply.GetGreeting())
+		n.members.markAnswered(reply.GetGreeting().GetInstance(), sent)
 	} else if isRefused(err) {
-		n.members.refusedAt(addr, clock.Now())
+		n.members.markRefused(addr, clock.Now())
 	}
 }
 
-// greetNow greets everybody and waits for the answers, for a while.
-func (n *Instance) greetNow(ctx context.Context) {
+// greetAll greets everybody and waits for the answers, at most greetTimeout.
+func (n *Instance) greetAll(ctx context.Context) {
 	req := &wire.Request{Body: &wire.Request_Greeting{Greeting: n.greeting()}}
 	var all sync.WaitGroup
-	for _, addr := range n.members.all(clock.Now()) {
+	for _, addr := range n.members.allAddrs(clock.Now()) {
 		all.Go(func() { n.greetOne(ctx, addr, req) })
 	}
 	all.Wait()
 }
 
-// greeted takes in a greeting.
-func (n *Instance) greeted(g *wire.Greeting) {
+// applyGreeting applies a received greeting.
+func (n *Instance) applyGreeting(g *wire.Greeting) {
 	for _, c := range g.GetCells() {
-		// The greeting took its time: the write was begun no later than that.
-		n.sawWrite(c.Name, c.LeaseVer, clock.Now().Add(-time.Duration(c.LeaseAgeUs)*time.Microsecond))
+		// The greeting took some time to arrive: the write began no later than that.
+		n.noteLeaseWrite(c.Name, c.LeaseVer, clock.Now().Add(-time.Duration(c.LeaseAgeUs)*time.Microsecond))
 	}
-	n.heardEnds(g.GetSucceeded(), g.GetBoot())
-	if n.members.heard(g, clock.Now()) {
+	n.applySuccesses(g.GetSucceeded(), g.GetBoot())
+	if n.members.applyGreeting(g, clock.Now()) {
 		level.Info(n.kit.Log).Log("event", "peer_heard", "peer", g.Instance, "peer_hall", g.Hall, "boot", g.Boot)
 	}
 	if g.GetConfigVersion() > n.config.Version() {
-		go n.fetchConfig(g.Addr, g.GetConfigVersion())
+		go n.fetchFromPeer(g.Addr, g.GetConfigVersion())
 	}
 }
 
+// memberRow is the stored form of an entry of the list of instances.
 type memberRow struct {
 	Addr string `json:"addr"`
 	Hall string `json:"hall"`
@@ -166,24 +168,24 @@
 	return m, err
 }
 
-// register reads the store's list of instances again and again, and writes this instance
-// into it where it does not stand there as it is.
+// register reads the store's list of instances periodically, and writes this instance's entry if it is
+// missing or differs, until ctx ends.
 func (n *Instance) register(ctx context.Context) {
 	own, err := json.Marshal(memberRow{Addr: n.settings.Listen.Peer, Hall: n.settings.Hall, Processor: n.processor()})
 	if err != nil {
 		return
 	}
-	put := rows.Tx{Put: []rows.Row{{Key: rows.Key{Table: tableMembers, Name: n.settings.Instance}, Value: own}}}
+	put := rows.Tx{Put: []rows.Row{{Key: rows.Key{Table: membersTable, Name: n.settings.Instance}, Value: own}}}
 	written := time.Time{}
 	for ctx.Err() == nil {
-		pause := membersSoon
+		pause := membersRetryPause
 		if all, ok := n.readMembers(ctx); ok {
 			at := slices.IndexFunc(all, func(r rows.Row) bool { return r.Name == n.settings.Instance })
-			if at >= 0 && clock.Since(written) > membersEvery {
+			if at >= 0 && clock.Since(written) > membersReadInterval {
 				n.listed.Store(true)
 			}
 			if at >= 0 && bytes.Equal(all[at].Value, own) {
-				pause = membersPause(len(all))
+				pause = membersReadPause(len(all))
 			} else if _, err := n.storeClient.Tx(ctx, put); err == nil {
 				written = clock.Now()
 			}
@@ -195,18 +197,18 @@
 	}
 }
 
-// membersPause returns when the list is read again that names so many instances: soon while
-// the others may still be starting, and seldomer the more there are, as all of them read it.
-func membersPause(listed int) time.Duration {
+// membersReadPause returns when a list of so many instances is read again: soon while the others may
+// still be starting, and less often the more there are, as all of them read it.
+func membersReadPause(listed int) time.Duration {
 	if listed <= 1 {
-		return membersSoon
+		return membersRetryPause
 	}
-	return min(max(membersEvery*time.Duration(listed)/membersFew, membersEvery), membersMost)
+	return min(max(membersReadInterval*time.Duration(listed)/smallFleet, membersReadInterval), maxMembersReadInterval)
 }
 
-// readMembers reads the store's list of instances.
+// readMembers reads the store's list of instances, and reports whether that succeeded.
 func (n *Instance) readMembers(ctx context.Context) ([]rows.Row, bool) {
-	all, _, err := rows.All(ctx, n.storeClient, rows.Range{Table: tableMembers})
+	all, _, err := rows.All(ctx, n.storeClient, rows.Range{Table: membersTable})
 	if err != nil {
 		return nil, false
 	}
@@ -219,6 +221,6 @@
 		}
 		listed = append(listed, m)
 	}
-	n.members.found(listed, clock.Now())
+	n.members.addListed(listed, clock.Now())
 	return all, true
 }
--- a/cluster/greet_test.go
+++ b/cluster/greet_test.go
@@ -14,11 +14,11 @@
 	"dewpass.org/rows"
 )
 
-// memberStore lists instances and counts what is written.
+// memberStore lists instances and counts writes.
 type memberStore struct {
-	table
+	readOnlyStore
 	listed []rows.Row
-	wrote  atomic.Int32
+	writes atomic.Int32
 }
 
 func (s *memberStore) Get(context.Context, rows.Range) (rows.Page, error) {
@@ -26,13 +26,13 @@
 }
 
 func (s *memberStore) Tx(context.Context, rows.Tx) (rows.Result, error) {
-	s.wrote.Add(1)
+	s.writes.Add(1)
 	return rows.Result{}, nil
 }
 
 var _ = Describe("the store's list of instances", func() {
 	registered := func(ctx context.Context, rowOf func(own memberRow) []rows.Row) (*Instance, *memberStore) {
-		n := testInstance(&policy{})
+		n := testInstance(&fakePolicy{})
 		own := memberRow{Addr: n.settings.Listen.Peer, Hall: n.settings.Hall, Processor: n.processor()}
 		s := &memberStore{listed: rowOf(own)}
 		n.storeClient.Direct = s
@@ -40,44 +40,44 @@
 		return n, s
 	}
 
-	It("is left as it is by an instance that stands there, and owners know it", func(ctx context.Context) {
+	It("is not changed by an instance that is listed correctly, and owners know that instance", func(ctx context.Context) {
 		ctx, cancel := context.WithCancel(ctx)
 		defer cancel()
 		n, s := registered(ctx, func(own memberRow) []rows.Row {
-			return []rows.Row{{Key: rows.Key{Table: tableMembers, Name: "me"}, Value: flow.Encode(own)}}
+			return []rows.Row{{Key: rows.Key{Table: membersTable, Name: "me"}, Value: flow.Encode(own)}}
 		})
 		Eventually(n.listed.Load).Should(BeTrue())
-		Consistently(s.wrote.Load, 2*membersSoon).Should(BeZero())
+		Consistently(s.writes.Load, 2*membersRetryPause).Should(BeZero())
 	})
 
-	It("gets an instance that is new, or that stands there otherwise", func(ctx context.Context) {
+	It("is changed by an instance that is new or is listed with other values", func(ctx context.Context) {
 		ctx, cancel := context.WithCancel(ctx)
 		defer cancel()
 		n, s := registered(ctx, func(memberRow) []rows.Row { return nil })
-		Eventually(s.wrote.Load).Should(BeNumerically(">", 0))
+		Eventually(s.writes.Load).Should(BeNumerically(">", 0))
 		Expect(n.listed.Load()).To(BeFalse())
 		n, s = registered(ctx, func(memberRow) []rows.Row {
-			return []rows.Row{{Key: rows.Key{Table: tableMembers, Name: "me"}, Value: []byte(`{"addr":"elsewhere"}`)}}
+			return []rows.Row{{Key: rows.Key{Table: membersTable, Name: "me"}, Value: []byte(`{"addr":"elsewhere"}`)}}
 		})
-		Eventually(s.wrote.Load).Should(BeNumerically(">", 0))
-		Expect(n.listed.Load()).To(BeTrue(), "a former life stands there")
+		Eventually(s.writes.Load).Should(BeNumerically(">", 0))
+		Expect(n.listed.Load()).To(BeTrue(), "an earlier process is listed")
 	})
 
-	It("has had an instance for some time before owners can be taken to know it", func(ctx context.Context) {
+	It("must have had an instance for some time until owners are assumed to know it", func(ctx context.Context) {
 		ctx, cancel := context.WithCancel(ctx)
 		defer cancel()
-		n := testInstance(&policy{})
+		n := testInstance(&fakePolicy{})
 		s := &listingStore{}
 		n.storeClient.Direct = s
 		go n.register(ctx)
 		Eventually(s.read.Load).Should(BeNumerically(">=", 2), "it has seen its own row")
-		Consistently(n.listed.Load, membersSoon).Should(BeFalse())
+		Consistently(n.listed.Load, membersRetryPause).Should(BeFalse())
 	})
 })
 
-// listingStore lists an instance once it has written its row.
+// listingStore lists an instance once that has written its row.
 type listingStore struct {
-	table
+	readOnlyStore
 	mu   sync.Mutex
 	put  []rows.Row
 	read atomic.Int32
--- a/cluster/instance.go
+++ b/cluster/instance.go
@@ -29,35 +29,35 @@
 
 // ConfigSource reads the operators' configuration.
 type ConfigSource interface {
-	// Get returns it as it stands, nil if there is none, and the version of the
-	// store.
+	// Get returns the current configuration, nil if there is none, and the version of the store.
 	Get(ctx context.Context) (*config.Config, uint64, error)
-	// Changes waits for a change after a version of the store.
+	// Changes waits up to wait for a change made after version ver of the store.
 	Changes(ctx context.Context, ver uint64, wait time.Duration) (*config.Config, uint64, error)
 }
 
-// Services are the outside systems that an instance works with.
+// Services are the external systems that an instance uses.
 type Services struct {
-	// Store is the store of rows as this instance reaches it itself.
+	// Store is this instance's direct connection to the store of rows.
 	Store   rows.Store
 	Workers driver.Workers
-	// Carrier sends orders of other owners, with few connections: any instance may.
+	// Carrier sends orders on behalf of other owners. It keeps few connections open, since every
+	// instance may have to do so.
 	Carrier   driver.Workers
 	Directory func(rows.Store) driver.Directory
 	Configs   func(rows.Store) ConfigSource
-	// Upkeep is nil where there is no list of machines.
+	// Upkeep is nil if the platform has no list of machines.
 	Upkeep func(rows.Store) upkeep.Platform
-	// ParseConfig reads a configuration that a peer passed on.
+	// ParseConfig parses a configuration received from a peer.
 	ParseConfig func([]byte) (*config.Config, error)
-	// Advisor is nil where there is no policy service.
+	// Advisor is nil if no policy service is configured.
 	Advisor driver.Advisor
-	// Front makes the handler of clients' requests.
+	// Front creates the HTTP handler for clients.
 	Front func(*Instance) http.Handler
-	// Readiness makes the handler that says whether clients may be sent here.
+	// Readiness creates the handler that reports whether clients may be routed to this instance.
 	Readiness func(ready func() bool) http.Handler
 }
 
-// Instance is one entry instance: it answers clients and its peers, and drives the
+// Instance is one entry instance: it answers clients and peers, and schedules the jobs of the
 // cells that it owns.
 type Instance struct {
 	Services
@@ -68,50 +68,50 @@
 	storeClient *rows.Client
 	configs     ConfigSource
 	config      config.Register
-	// fetching says that the configuration is being asked of a peer.
-	fetching atomic.Bool
-	// arriving is when the store's answer with the configuration last brought something.
-	arriving atomic.Pointer[time.Time]
-	// configHeard is when the store last said what the configuration is, or that it has not
-	// changed.
-	configHeard atomic.Pointer[time.Time]
-	// configLogged is when a line was last logged on a configuration that was not read.
-	configLogged atomic.Pointer[time.Time]
-	badRows      *badRows
-	members      *members
-	homes        homes
-	ends         ends
-	// texts are those of jobs for which this instance sends orders, and given says who has
-	// those of the jobs that it owns.
-	texts   texts
-	given   given
-	dialer  *link.Dialer
-	server  *link.Server
-	leaving atomic.Bool
-	// waiting counts the callers that wait for the store.
-	waiting atomic.Int32
-	front   *drain.Server
-	began   time.Time
-	// listed says that the store lists this instance, by a former life of it or for as long
-	// as others need to read the list: owners know it.
+	// fetchingConfig is true while the configuration is being requested from a peer.
+	fetchingConfig atomic.Bool
+	// configDataAt is when data of the store's answer with the configuration last arrived.
+	configDataAt atomic.Pointer[time.Time]
+	// configConfirmedAt is when the store last returned the configuration or confirmed that it
+	// has not changed.
+	configConfirmedAt atomic.Pointer[time.Time]
+	// configErrorLoggedAt is when a failed read of the configuration was last logged.
+	configErrorLoggedAt atomic.Pointer[time.Time]
+	badRows             *badRows
+	members             *members
+	jobCells            jobCells
+	successes           reportedSuccesses
+	// texts are the texts of jobs whose orders this instance relays; textHolders records which
+	// instances have the texts of the jobs that this instance owns.
+	texts       jobTexts
+	textHolders textHolders
+	dialer      *link.Dialer
+	server      *link.Server
+	leaving     atomic.Bool
+	// waitingCallers counts the callers that are waiting for the store to be reachable.
+	waitingCallers atomic.Int32
+	clientServer   *drain.Server
+	startedAt      time.Time
+	// listed is true if the store has listed this instance (or an earlier process of it) for long
+	// enough that owners have read the list and know it.
 	listed atomic.Bool
 
 	division division
 
 	mu    sync.Mutex
 	cells map[string]*ownCell
-	// lastWrites holds what is known of the last write of each cell lease.
-	lastWrites map[string]watched
-	times      times
-	// resting is until when this instance takes no cell.
-	resting time.Time
-	// asking is how long the answers take to the questions to the policy that this
-	// instance asks itself.
-	asking time.Duration
+	// lastWrites holds the last known write of each cell lease.
+	lastWrites map[string]leaseWrite
+	reloadable reloadable
+	// electionPausedUntil is until when this instance claims no cell.
+	electionPausedUntil time.Time
+	// adviceBacklog is the total expected time to answer the policy questions that this instance
+	// is asking itself at the moment.
+	adviceBacklog time.Duration
 }
 
-// Run runs an instance until ctx ends, and then stops it as planned.
-// Settings that come by changes are taken where they can be without a restart.
+// Run runs an instance until ctx ends, and then shuts it down gracefully. Of the settings
+// received from changes, it applies those that need no restart.
 func Run(ctx context.Context, s *settings.Settings, kit *telemetry.Kit, services Services, changes <-chan *settings.Settings) error {
 	limitMemory(s)
 	n := newInstance(s, kit, services)
@@ -129,25 +129,26 @@
 	go n.yieldLoop(work)
 	go n.runCells(work)
 	go n.upkeepLoop(work)
-	n.takeChanges(ctx, changes)
+	n.applyChanges(ctx, changes)
 	n.stop(others)
 	level.Info(kit.Log).Log("event", "stopped")
 	return nil
 }
 
-// memoryShare is the part of the memory that the runtime tries to stay within, in
-// hundredths; the rest is for what it does not count.
-const memoryShare = 65
+// memoryLimitPercent is the part of the configured memory that is set as the Go runtime's soft
+// limit. The rest is for memory that the runtime does not count.
+const memoryLimitPercent = 65
 
-// limitMemory lets the collector work harder when memory gets scarce.
+// limitMemory sets the runtime's soft memory limit, so that the garbage collector works harder
+// when memory gets scarce.
 func limitMemory(s *settings.Settings) {
 	if s.MemoryLimitMiB > 0 {
-		debug.SetMemoryLimit(s.MemoryLimitMiB << 20 * memoryShare / 100)
+		debug.SetMemoryLimit(s.MemoryLimitMiB << 20 * memoryLimitPercent / 100)
 	}
 }
 
-// takeChanges takes changed settings until ctx ends.
-func (n *Instance) takeChanges(ctx context.Context, changes <-chan *settings.Settings) {
+// applyChanges applies changed settings until ctx ends.
+func (n *Instance) applyChanges(ctx context.Context, changes <-chan *settings.Settings) {
 	for {
 		select {
 		case s := <-changes:
@@ -158,49 +159,49 @@
 	}
 }
 
-// reload takes what may change while an instance runs: how long leases, jobs
-// that are over, and the grace last. A lease counts for cells that are taken
-// from then on.
+// reload applies the settings that may change at run time: the duration of leases, how long
+// ended jobs are kept, and the shutdown grace. A new lease duration holds for cells that are
+// taken from then on.
 func (n *Instance) reload(s *settings.Settings) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if s.Cluster == nil {
 		return
 	}
-	old := n.times
-	n.times = timesOf(s.Cluster)
+	old := n.reloadable
+	n.reloadable = reloadableOf(s.Cluster)
 	restart := s.Listen != n.settings.Listen || s.Cluster.Store != n.settings.Cluster.Store
-	level.Info(n.kit.Log).Log("event", "reloaded", "changed", n.times != old, "needs_restart", restart)
+	level.Info(n.kit.Log).Log("event", "reloaded", "changed", n.reloadable != old, "needs_restart", restart)
 }
 
-// times are the settings that may change while an instance runs.
-type times struct {
+// reloadable are the settings that may change at run time.
+type reloadable struct {
 	lease, keep, grace time.Duration
 }
 
-func timesOf(c *settings.Cluster) times {
-	return times{lease: time.Duration(c.Lease), keep: time.Duration(c.Keep), grace: time.Duration(c.Grace)}
+func reloadableOf(c *settings.Cluster) reloadable {
+	return reloadable{lease: time.Duration(c.Lease), keep: time.Duration(c.Keep), grace: time.Duration(c.Grace)}
 }
 
-func (n *Instance) timesNow() times {
+func (n *Instance) currentReloadable() reloadable {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.times
+	return n.reloadable
 }
 
 func newInstance(s *settings.Settings, kit *telemetry.Kit, services Services) *Instance {
 	bad := newBadRows(kit)
 	n := &Instance{
-		Services: counted(services, kit, bad), badRows: bad, settings: s, kit: kit, boot: uid.New(), began: clock.Now(),
+		Services: counted(services, kit, bad), badRows: bad, settings: s, kit: kit, boot: uid.New(), startedAt: clock.Now(),
 		members:    newMembers(s.Instance, s.Hall, s.Peers, s.Listen.Peer, clock.Now()),
 		dialer:     &link.Dialer{},
 		cells:      make(map[string]*ownCell),
-		lastWrites: make(map[string]watched),
-		times:      timesOf(s.Cluster),
+		lastWrites: make(map[string]leaseWrite),
+		reloadable: reloadableOf(s.Cluster),
 	}
 	n.server = &link.Server{Handler: n}
-	n.storeClient = &rows.Client{Direct: n.Store, Now: clock.Now, Carry: n.carry, Changed: n.storeChanged}
-	n.configs = services.Configs(n.storeClient.DirectOnly(n.configArrives))
+	n.storeClient = &rows.Client{Direct: n.Store, Now: clock.Now, Carry: n.relayStoreCall, Changed: n.storeChanged}
+	n.configs = services.Configs(n.storeClient.DirectOnly(n.noteConfigData))
 	return n
 }
 
@@ -209,57 +210,57 @@
 }
 
 const (
-	// probeEvery spaces the reads that show whether the store answers, and probeLook the
-	// looks whether one is needed.
-	probeEvery = 300 * time.Millisecond
-	probeLook  = 100 * time.Millisecond
-	// probeSpare is how lately another call must have been answered by the store to spare a
-	// probe. With probeLook and the answer of a slow store it stays below the time after
-	// which the store counts as not reached.
-	probeSpare = 450 * time.Millisecond
-	// carriedSpare is the same for answers that a peer has brought.
-	carriedSpare = 200 * time.Millisecond
+	// probeInterval is the time between reads that check whether the store answers;
+	// probeCheckInterval is how often it is checked whether such a read is due.
+	probeInterval      = 300 * time.Millisecond
+	probeCheckInterval = 100 * time.Millisecond
+	// A probe is skipped if the store has answered another call within answerFreshness. Together
+	// with probeCheckInterval and the latency of a slow store it stays below the time after which
+	// the store counts as not reached.
+	answerFreshness = 450 * time.Millisecond
+	// relayedFreshness is the same for answers relayed by a peer.
+	relayedFreshness = 200 * time.Millisecond
 )
 
-// probeStore reads the lease of one cell after another, so that readiness follows
-// the store.
+// probeStore reads the lease of one cell after another, so that readiness follows the
+// availability of the store.
 func (n *Instance) probeStore(ctx context.Context) {
 	var last time.Time
-	slept := &suspensions{total: clock.Suspended}
+	slept := &suspensionTracker{total: clock.Suspended}
 	for at := 0; ctx.Err() == nil; {
 		now := clock.Now()
-		n.tellSuspended(slept)
+		n.reportSuspension(slept)
 		name := ""
 		if names := n.division.cells(); len(names) > 0 {
 			name = names[at%len(names)]
 		}
-		if now.Sub(last) >= probeEvery && !n.known(name, now) {
+		if now.Sub(last) >= probeInterval && !n.probeRedundant(name, now) {
 			last = now
 			at++
 			go n.probeLease(ctx, name)
-			if !n.storeClient.DirectOK() && !n.storeClient.Carried(carriedSpare) {
+			if !n.storeClient.DirectOK() && !n.storeClient.Carried(relayedFreshness) {
 				go n.probeByPeer(ctx, name)
 			}
 		}
-		sleep(ctx, probeLook)
+		sleep(ctx, probeCheckInterval)
 	}
 }
 
-// probeByPeer shows whether a peer still reaches the store. Only calls show that otherwise, and
-// while jobs are refused there are none.
+// probeByPeer checks whether the store can still be reached through a peer. Otherwise only
+// relayed calls show that, and there are none while jobs are refused.
 func (n *Instance) probeByPeer(ctx context.Context, name string) {
 	n.probe(ctx, name, n.storeClient.ProbePeer)
 }
 
-// known reports whether what a probe would tell is known: the store has just answered
-// another call, and for how long the cell's lease has gone unwritten is known from its
-// owner, or when it has to be by the store's clock.
-func (n *Instance) known(name string, now time.Time) bool {
-	return n.storeClient.Answered(probeSpare) &&
-		(n.listed.Load() || n.own(name) != nil || n.ownerHeard(name, now, watchAfter))
+// probeRedundant reports whether a probe of a cell's lease would bring nothing new: the store has
+// just answered another call, and the age of the lease is known from its owner or can be computed
+// from the store's clock.
+func (n *Instance) probeRedundant(name string, now time.Time) bool {
+	return n.storeClient.Answered(answerFreshness) &&
+		(n.listed.Load() || n.ownDriver(name) != nil || n.ownerHeard(name, now, ownerTimeout))
 }
 
-// probeLease reads the lease of a cell; "" is the division in its place.
+// probeLease reads the lease of a cell, or the division row if name is "".
 func (n *Instance) probeLease(ctx context.Context, name string) {
 	n.probe(ctx, name, n.storeClient.Probe)
 }
@@ -272,14 +273,15 @@
 	asked := clock.Now()
 	page, err := get(ctx, r)
 	if err == nil && name != "" {
-		n.sawWrite(name, claim.SeenIn(page, asked).Ver, clock.Now())
+		n.noteLeaseWrite(name, claim.SeenIn(page, asked).Ver, clock.Now())
 	}
 }
 
 // Config returns the newest configuration, nil if there is none yet.
 func (n *Instance) Config() *config.Config { return n.config.Now() }
 
-// listen serves peers and clients, and returns the servers that are for neither.
+// listen starts the servers for peers and clients, and returns the other servers (readiness and
+// metrics).
 func (n *Instance) listen(ctx context.Context) ([]*drain.Server, error) {
 	peers, err := sock.Listen(ctx, n.settings.Listen.Peer)
 	if err != nil {
@@ -287,7 +289,7 @@
 	}
 	go n.server.Serve(peers)
 	c := n.settings.Cluster
-	n.front, err = serve(ctx, "/listen/http", n.settings.Listen.HTTP, n.Front(n))
+	n.clientServer, err = serve(ctx, "/listen/http", n.settings.Listen.HTTP, n.Front(n))
 	if err != nil {
 		return nil, err
 	}
@@ -307,9 +309,9 @@
 }
 
 const (
-	headerTime = 3 * time.Second
-	idleTime   = 15 * time.Second
-	maxHeader  = 16 << 10
+	headerTimeout  = 3 * time.Second
+	idleTimeout    = 15 * time.Second
+	maxHeaderBytes = 16 << 10
 )
 
 func serve(ctx context.Context, path, addr string, h http.Handler) (*drain.Server, error) {
@@ -317,56 +319,56 @@
 	if err != nil {
 		return nil, kind.At(kind.BadSettings, path, err.Error())
 	}
-	s := drain.New(&http.Server{Handler: h, ReadHeaderTimeout: headerTime, IdleTimeout: idleTime, MaxHeaderBytes: maxHeader}, l)
-	// Serve ends with the server; there is nobody to tell.
+	s := drain.New(&http.Server{Handler: h, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes}, l)
+	// Serve returns when the server is stopped; its error is of no interest.
 	go func() { _ = s.Serve() }()
 	return s, nil
 }
 
-// Ready reports whether clients may be sent here.
+// Ready reports whether clients may be routed to this instance.
 func (n *Instance) Ready() bool {
 	known := n.config.Now() != nil && len(n.division.cells()) > 0
 	return known && !n.leaving.Load() && n.storeClient.Reachable()
 }
 
 const (
-	// lingerTime is how long after the notice a stopping instance stays for clients
-	// that keep their connections open, and lingerShare the part of the grace, in tenths,
-	// that bounds it: at the least grace, 4 s, it is 0.7 s longer than the notice. Each
-	// second more keeps more instances away at once while all are restarted in turn.
-	lingerTime  = 1100 * time.Millisecond
-	lingerShare = 8
-	// cutShare is the part of the grace after which a request still under way is
-	// cut. The rest, 0.4 s at the least grace, is for the end of the process.
-	cutShare    = 9
-	handoverMax = 1500 * time.Millisecond
+	// After noticeTime a stopping instance waits up to lingerTime more for clients that keep their
+	// connections open, but no longer than lingerTenths of the grace, in tenths: at the smallest
+	// grace, 4 s, that is 0.7 s after the notice. Each additional second keeps more instances away
+	// at once during a rolling restart.
+	lingerTime   = 1100 * time.Millisecond
+	lingerTenths = 8
+	// Requests still in progress after cutTenths of the grace, in tenths, are cut. The rest, 0.4 s
+	// at the smallest grace, is for the end of the process.
+	cutTenths       = 9
+	handoverTimeout = 1500 * time.Millisecond
 )
 
-// notice is how long the platform may still send new clients here after this
-// instance said that it is not ready.
-const notice = 2500 * time.Millisecond
+// noticeTime is how long the platform may still route new clients to this instance after it has
+// reported that it is not ready.
+const noticeTime = 2500 * time.Millisecond
 
-// stop hands the cells on, lets what is in progress end, and closes.
+// stop releases the cells, lets requests in progress finish, and closes the servers.
 func (n *Instance) stop(others []*drain.Server) {
-	grace, begun := n.timesNow().grace, clock.Now()
+	grace, begun := n.currentReloadable().grace, clock.Now()
 	level.Info(n.kit.Log).Log("event", "stopping")
 	n.leaving.Store(true)
-	ctx, cancel := context.WithTimeout(context.Background(), handoverMax)
-	n.handOver(ctx, n.owned())
+	ctx, cancel := context.WithTimeout(context.Background(), handoverTimeout)
+	n.handOver(ctx, n.ownCells())
 	cancel()
-	patience, cancel := context.WithDeadline(context.Background(), begun.Add(min(notice+lingerTime, grace*lingerShare/10)))
+	patience, cancel := context.WithDeadline(context.Background(), begun.Add(min(noticeTime+lingerTime, grace*lingerTenths/10)))
 	defer cancel()
-	limit, cancel := context.WithDeadline(context.Background(), begun.Add(grace*cutShare/10))
+	limit, cancel := context.WithDeadline(context.Background(), begun.Add(grace*cutTenths/10))
 	defer cancel()
-	// The notice runs from the start: a slow handover leaves clients no less time.
-	sleep(patience, clock.Until(begun.Add(notice)))
-	if err := n.front.Stop(patience, limit); err != nil {
+	// The notice runs from the start of the stop: a slow handover does not extend it.
+	sleep(patience, clock.Until(begun.Add(noticeTime)))
+	if err := n.clientServer.Stop(patience, limit); err != nil {
 		level.Warn(n.kit.Log).Log("event", "not_drained", "err", err)
 	}
 	over, cancel := context.WithCancel(context.Background())
 	cancel()
 	for _, s := range others {
-		// Idle connections of probes go at once, an answer under way is finished.
+		// Idle connections of probes are closed at once; an answer in progress is finished.
 		_ = s.Stop(over, limit)
 	}
 	n.server.Close()
--- a/cluster/jobs.go
+++ b/cluster/jobs.go
@@ -22,156 +22,158 @@
 )
 
 const (
-	askTime    = 700 * time.Millisecond
-	cancelTime = 2500 * time.Millisecond
-	// window is the length of the time in which the work that waits should find
-	// room, for comparing halls.
-	window = 2 * time.Second
+	askTimeout    = 700 * time.Millisecond
+	cancelTimeout = 2500 * time.Millisecond
+	// loadWindow is the time within which queued work should find room; it weighs queued work when
+	// the loads of cells are compared.
+	loadWindow = 2 * time.Second
 )
 
-// homes remembers which cells run the jobs that were seen here, the job's own first.
-type homes struct {
-	mu   sync.Mutex
-	now  map[string][]string
-	last map[string][]string
+// jobCells is a bounded cache of the cells that run a job, its home cell first. When current is
+// full it becomes previous, and the previous half is dropped.
+type jobCells struct {
+	mu       sync.Mutex
+	current  map[string][]string
+	previous map[string][]string
 }
 
-const homesMost = 20_000
+const maxJobCells = 20_000
 
-func (h *homes) set(id string, cells []string) {
+func (h *jobCells) set(id string, cells []string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.now == nil || len(h.now) >= homesMost {
-		h.now, h.last = make(map[string][]string), h.now
+	if h.current == nil || len(h.current) >= maxJobCells {
+		h.current, h.previous = make(map[string][]string), h.current
 	}
-	h.now[id] = cells
+	h.current[id] = cells
 }
 
-func (h *homes) drop(id string) {
+func (h *jobCells) drop(id string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	delete(h.now, id)
-	delete(h.last, id)
+	delete(h.current, id)
+	delete(h.previous, id)
 }
 
 // get returns the cells of a job, nil if they are not known.
-func (h *homes) get(id string) []string {
+func (h *jobCells) get(id string) []string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if cells := h.now[id]; len(cells) > 0 {
+	if cells := h.current[id]; len(cells) > 0 {
 		return cells
 	}
-	return h.last[id]
+	return h.previous[id]
 }
 
-// place is a cell that may take a job.
-type place struct {
+// candidate is a cell that may take a job.
+type candidate struct {
 	cell string
-	// addr is empty for an own cell.
+	// addr is empty for a cell that this instance owns.
 	addr string
 	name string
 	load float64
 }
 
-// places returns the cells that may take a job, the best first.
-func (n *Instance) places(spec *flow.Spec) []place {
-	var out []place
-	own := n.owned()
+// candidates returns the cells that may take a job, the best first.
+func (n *Instance) candidates(spec *flow.Spec) []candidate {
+	var out []candidate
+	own := n.ownCells()
 	for name, c := range own {
 		if !c.driver.Ready() {
 			continue
 		}
 		l := c.driver.Load()
-		out = append(out, place{cell: name, load: loadOf(l.Room[sched.Milli], l.Free[sched.Milli], l.Waiting) - n.near(spec, name)})
+		out = append(out, candidate{cell: name, load: relativeLoad(l.Room[sched.Milli], l.Free[sched.Milli], l.Waiting) - n.localityGain(spec, name)})
 	}
 	for _, o := range n.members.cells(clock.Now()) {
 		if !o.cell.Ready || own[o.cell.Name] != nil {
 			continue
 		}
-		out = append(out, place{
+		out = append(out, candidate{
 			cell: o.cell.Name, addr: o.addr, name: o.name,
-			load: loadOf(o.cell.Room, o.cell.Free, o.cell.Waiting+o.work) - n.near(spec, o.cell.Name),
+			load: relativeLoad(o.cell.Room, o.cell.Free, o.cell.Waiting+o.sentWork) - n.localityGain(spec, o.cell.Name),
 		})
 	}
-	slices.SortStableFunc(out, func(a, b place) int {
+	slices.SortStableFunc(out, func(a, b candidate) int {
 		return cmp.Or(cmp.Compare(a.load, b.load), cmp.Compare(a.cell, b.cell))
 	})
 	return out
 }
 
-const nearGain = 0.5
+const localityBonus = 0.5
 
-// loadOf says how full a cell is: the part of its room that is in use, and the
-// work that waits against what it does in a window.
-func loadOf(room, free, waiting int64) float64 {
+// relativeLoad returns how full a cell is: the fraction of its room in use, plus the queued work
+// (waiting, in ms of one processor) relative to what the cell processes in loadWindow. room and free
+// are in thousandths of a processor.
+func relativeLoad(room, free, waiting int64) float64 {
 	if room <= 0 {
-		return fullLoad
+		return unusableLoad
 	}
 	used := float64(room-free) / float64(room)
-	return used + float64(waiting)/(float64(room)/1000*float64(window.Milliseconds()))
+	return used + float64(waiting)/(float64(room)/1000*float64(loadWindow.Milliseconds()))
 }
 
-// near returns what it is worth that the racks of a job's data are in a cell.
-func (n *Instance) near(spec *flow.Spec, cell string) float64 {
+// localityGain returns the bonus for a cell that contains the racks with a job's data.
+func (n *Instance) localityGain(spec *flow.Spec, cell string) float64 {
 	gain := 0.0
 	for i := range spec.Steps {
-		if rack := spec.Steps[i].Near; rack != "" && n.division.draw(rack) == cell {
-			gain += nearGain / float64(len(spec.Steps))
+		if rack := spec.Steps[i].Near; rack != "" && n.division.hashCell(rack) == cell {
+			gain += localityBonus / float64(len(spec.Steps))
 		}
 	}
 	return gain
 }
 
-const fullLoad = 1e9
+const unusableLoad = 1e9
 
-// State returns the state of a job. Its error is of kind NotFound if there is
-// no such job.
+// State returns the state of a job. Its error is of kind NotFound if there is no such job.
 func (n *Instance) State(ctx context.Context, id string) (flow.State, error) {
-	for name, c := range n.owned() {
+	for name, c := range n.ownCells() {
 		if s, ok := c.driver.State(id); ok {
 			if !mayUse(ctx, c.driver, id) {
 				return "", kind.New(kind.NotFound, "no job has this id")
 			}
-			return n.begun(ctx, id, s, name, c.driver.Cells(id)), nil
+			return n.combinedState(ctx, id, s, name, c.driver.Cells(id)), nil
 		}
 	}
-	// The owner is asked first: it knows the job unless it is long over.
-	likely := n.likelyHome(id)
+	// The owner is asked first: it knows the job unless that ended long ago.
+	likely := n.likelyCell(id)
 	if likely != "" {
 		if s, err := n.askOwner(ctx, likely, id, false); err == nil {
-			return n.begun(ctx, id, s, likely, n.homes.get(id)), nil
+			return n.combinedState(ctx, id, s, likely, n.jobCells.get(id)), nil
 		} else if kind.Is(err, kind.Unauthorized) {
 			return "", kind.New(kind.NotFound, "no job has this id")
 		}
 	}
-	if n.ends.has(id) {
-		// Its owner has said so, and is not heard now.
+	if n.successes.has(id) {
+		// Its owner has reported this, and is not heard at present.
 		return flow.Succeeded, nil
 	}
-	remembered := n.homes.get(id) != nil
-	cells, err := n.home(ctx, id)
+	remembered := n.jobCells.get(id) != nil
+	cells, err := n.cellsOf(ctx, id)
 	if err != nil {
 		return "", err
 	}
 	cell := cells[0]
-	if cell != likely && n.own(cell) == nil {
+	if cell != likely && n.ownDriver(cell) == nil {
 		if s, err := n.askOwner(ctx, cell, id, false); err == nil {
 			return s, nil
 		} else if kind.Is(err, kind.Unauthorized) {
 			return "", kind.New(kind.NotFound, "no job has this id")
 		}
 	}
-	state, err := n.stored(ctx, cell, id)
+	state, err := n.storedState(ctx, cell, id)
 	if err == nil && state == flow.Pending && remembered {
-		// A job that was forgotten has neither a record nor an end, like one that
-		// has not begun: only its home tells them apart.
-		_, err = n.readHome(ctx, id)
+		// A job that was deleted after its retention time has neither a record nor an end, like one
+		// that has not begun: only the home row tells them apart.
+		_, err = n.readCellsOf(ctx, id)
 	}
 	return state, err
 }
 
-// begun returns the state of a job by that which one of its cells tells: it runs if any says so.
-func (n *Instance) begun(ctx context.Context, id string, told flow.State, by string, cells []string) flow.State {
+// combinedState returns the state of a job given the state told by one of its cells, by: it is Running
+// if any of its cells says so.
+func (n *Instance) combinedState(ctx context.Context, id string, told flow.State, by string, cells []string) flow.State {
 	for _, cell := range cells {
 		if told != flow.Pending {
 			break
@@ -179,7 +181,7 @@
 		if cell == by {
 			continue
 		}
-		if d := n.own(cell); d != nil {
+		if d := n.ownDriver(cell); d != nil {
 			if s, known := d.State(id); known && s == flow.Running {
 				return s
 			}
@@ -192,56 +194,56 @@
 	return told
 }
 
-// likelyHome returns the cell of another owner that has a job if it is there at all:
-// the one that was seen to have it, or the only one. It is "" if that is not known.
-func (n *Instance) likelyHome(id string) string {
+// likelyCell returns the cell, owned by another instance, that has a job if any has: the one that was
+// seen to have it, or the only cell. It returns "" if that is not known.
+func (n *Instance) likelyCell(id string) string {
 	cell := ""
-	if cells := n.homes.get(id); len(cells) > 0 {
+	if cells := n.jobCells.get(id); len(cells) > 0 {
 		cell = cells[0]
 	} else if names := n.division.cells(); len(names) == 1 {
 		cell = names[0]
 	}
-	if n.own(cell) != nil {
+	if n.ownDriver(cell) != nil {
 		return ""
 	}
 	return cell
 }
 
-// home returns the cells that run a job, its own first.
-func (n *Instance) home(ctx context.Context, id string) ([]string, error) {
-	if cells := n.homes.get(id); cells != nil {
+// cellsOf returns the cells that run a job, its home cell first.
+func (n *Instance) cellsOf(ctx context.Context, id string) ([]string, error) {
+	if cells := n.jobCells.get(id); cells != nil {
 		return cells, nil
 	}
-	return n.readHome(ctx, id)
+	return n.readCellsOf(ctx, id)
 }
 
-// readHome reads from the store which cells run a job.
-func (n *Instance) readHome(ctx context.Context, id string) ([]string, error) {
-	row, err := n.row(ctx, driver.HomeKey(id))
+// readCellsOf reads from the store which cells run a job.
+func (n *Instance) readCellsOf(ctx context.Context, id string) ([]string, error) {
+	row, err := n.readJobRow(ctx, driver.HomeKey(id))
 	if err != nil {
 		return nil, err
 	}
 	cells := driver.HomeCells(row.Value)
 	switch {
 	case row.Ver == 0:
-		n.homes.drop(id)
+		n.jobCells.drop(id)
 		return nil, kind.New(kind.NotFound, "no job has this id")
 	case len(cells) == 0:
-		return nil, kind.New(kind.Damaged, "the job's home names no cell")
+		return nil, kind.New(kind.Damaged, "the job's home row names no cell")
 	}
-	n.homes.set(id, cells)
+	n.jobCells.set(id, cells)
 	return cells, nil
 }
 
-// askOwner asks the owner of a cell for a job's state, or cancels the job.
+// askOwner asks the owner of a cell for a job's state, or to cancel the job.
 func (n *Instance) askOwner(ctx context.Context, cell, id string, cancelJob bool) (flow.State, error) {
 	o := n.members.owner(cell, clock.Now())
 	if o == nil {
-		return "", kind.New(kind.Unavailable, "the cell's owner is not heard").After(n.comeBack(id))
+		return "", kind.New(kind.Unavailable, "no owner of the cell is known").After(n.retryAfter(id))
 	}
-	limit := askTime
+	limit := askTimeout
 	if cancelJob {
-		limit = cancelTime
+		limit = cancelTimeout
 	}
 	account, checked := config.Caller(ctx)
 	ctx, cancel := context.WithTimeout(ctx, limit)
@@ -255,9 +257,9 @@
 	return flow.State(reply.GetJobState().GetState()), nil
 }
 
-// stored returns the state that the store has.
-func (n *Instance) stored(ctx context.Context, cell, id string) (flow.State, error) {
-	record, err := n.row(ctx, driver.RecordKey(cell, id))
+// storedState returns the state of a job as the store has it.
+func (n *Instance) storedState(ctx context.Context, cell, id string) (flow.State, error) {
+	record, err := n.readJobRow(ctx, driver.RecordKey(cell, id))
 	if err != nil {
 		return "", err
 	}
@@ -272,8 +274,8 @@
 	if state.Final() {
 		return state, nil
 	}
-	// The end may be written apart, before the record or in place of it.
-	ended, err := n.row(ctx, driver.EndedKey(id))
+	// The end may be written in a row of its own, before the record or in place of it.
+	ended, err := n.readJobRow(ctx, driver.EndedKey(id))
 	switch {
 	case err != nil:
 		return "", err
@@ -287,22 +289,22 @@
 	return e.State, nil
 }
 
-// row reads a row of a job, with version 0 if there is none. It fails at once while the
-// store is known not to be reached.
-func (n *Instance) row(ctx context.Context, key rows.Key) (rows.Row, error) {
+// readJobRow reads a row of a job; its version is 0 if there is none. It fails at once while the
+// store is known to be unreachable.
+func (n *Instance) readJobRow(ctx context.Context, key rows.Key) (rows.Row, error) {
 	if n.storeClient.KnownAway() {
-		return rows.Row{}, kind.New(kind.Unavailable, "the store is not reached").After(n.comeBack(key.Name))
+		return rows.Row{}, kind.New(kind.Unavailable, "the store is not reached").After(n.retryAfter(key.Name))
 	}
 	page, err := n.storeClient.Get(ctx, rows.Only(key))
 	if err != nil {
-		return rows.Row{}, kind.Wrap(kind.Unavailable, err, "the job's row in "+key.Table).After(n.comeBack(key.Name))
+		return rows.Row{}, kind.Wrap(kind.Unavailable, err, "the job's row in "+key.Table).After(n.retryAfter(key.Name))
 	}
 	return page.One(), nil
 }
 
 // Cancel cancels a job. Its error is of kind NotFound if there is no such job.
 func (n *Instance) Cancel(ctx context.Context, id string) error {
-	ctx, cancel := context.WithTimeout(ctx, cancelTime)
+	ctx, cancel := context.WithTimeout(ctx, cancelTimeout)
 	defer cancel()
 	for {
 		err := n.cancelOnce(ctx, id)
@@ -312,36 +314,36 @@
 		if err == nil || kind.Is(err, kind.NotFound) || ctx.Err() != nil {
 			return err
 		}
-		sleep(ctx, retryCancel)
+		sleep(ctx, cancelRetryPause)
 		if ctx.Err() != nil {
-			return kind.Of(err).After(n.comeBack(id))
+			return kind.Of(err).After(n.retryAfter(id))
 		}
 	}
 }
 
-const retryCancel = 200 * time.Millisecond
+const cancelRetryPause = 200 * time.Millisecond
 
-// cancelOnce cancels a job at its own cell, which keeps that, and then at those that it is shared
-// with. What a cell is not told, as whoever cancels is lost, it finds out by itself.
+// cancelOnce cancels a job in its home cell, which stores that, and then in the cells that it is
+// shared with. If this instance fails in between, those cells find out by themselves.
 func (n *Instance) cancelOnce(ctx context.Context, id string) error {
-	cells, err := n.home(ctx, id)
+	cells, err := n.cellsOf(ctx, id)
 	if err != nil {
 		return err
 	}
 	var row rows.Row
 	if len(cells) > 1 {
-		// The row goes with the job's end.
-		if row, err = n.row(ctx, driver.SpecKey(id)); err != nil {
+		// The row is deleted at the job's end, so it is read before the cancellation.
+		if row, err = n.readJobRow(ctx, driver.SpecKey(id)); err != nil {
 			return err
 		}
 	}
 	for i, cell := range cells {
-		err := n.cancelAt(ctx, cell, id)
+		err := n.cancelInCell(ctx, cell, id)
 		if kind.Is(err, kind.NotFound) {
-			err = n.tellOfCanceled(ctx, cell, id, row)
+			err = n.notifyAndCancel(ctx, cell, id, row)
 		}
 		if i > 0 && kind.Is(err, kind.NotFound) {
-			// It was over there before.
+			// It had ended there before.
 			continue
 		}
 		if err != nil {
@@ -351,55 +353,57 @@
 	return nil
 }
 
-// cancelAt has the owner of a cell cancel a job.
-func (n *Instance) cancelAt(ctx context.Context, cell, id string) error {
-	d := n.own(cell)
+// cancelInCell has the owner of a cell cancel a job.
+func (n *Instance) cancelInCell(ctx context.Context, cell, id string) error {
+	d := n.ownDriver(cell)
 	if d == nil {
 		_, err := n.askOwner(ctx, cell, id, true)
 		return err
 	}
 	if !d.Ready() {
-		return kind.New(kind.Unavailable, "the cell is being read").After(n.comeBack(id))
+		return kind.New(kind.Unavailable, "the cell's jobs are still being loaded").After(n.retryAfter(id))
 	}
 	if !mayUse(ctx, d, id) {
-		return errForeign()
+		return errOtherAccount()
 	}
 	return d.Cancel(ctx, id)
 }
 
-// mayUse reports whether the client account whose call ctx is of may use a job of a cell.
+// mayUse reports whether the client account that makes the call of ctx may use a job of a cell.
 func mayUse(ctx context.Context, d *driver.Driver, id string) bool {
 	account, checked := config.Caller(ctx)
 	return !checked || d.MayUse(id, account)
 }
 
-// errForeign is the error for a job of another client account, between instances: its caller is
-// told what it would be told if there were no such job.
-func errForeign() error { return kind.New(kind.Unauthorized, "the job is another account's") }
+// errOtherAccount is the error between instances for a job of another client account. The caller gets
+// the same answer as if there were no such job.
+func errOtherAccount() error {
+	return kind.New(kind.Unauthorized, "the job belongs to another client account")
+}
 
-// tellOfCanceled tells an owner of a job that it does not know and that is not over: one
-// that was accepted a moment ago. row is the job's if it has been read. The error is of kind
-// NotFound if the job is over.
-func (n *Instance) tellOfCanceled(ctx context.Context, cell, id string, row rows.Row) error {
+// notifyAndCancel cancels a job that its owner does not know though it has not ended: one that was
+// accepted a moment ago. It sends the owner the job first. row is the job's row if it was already
+// read. The error is of kind NotFound if the job has ended.
+func (n *Instance) notifyAndCancel(ctx context.Context, cell, id string, row rows.Row) error {
 	var err error
 	if row.Ver == 0 {
-		if row, err = n.row(ctx, driver.SpecKey(id)); err != nil {
+		if row, err = n.readJobRow(ctx, driver.SpecKey(id)); err != nil {
 			return err
 		}
 	}
 	if row.Ver == 0 {
-		return kind.New(kind.NotFound, "the job is over")
+		return kind.New(kind.NotFound, "the job has ended")
 	}
 	spec, err := flow.DecodeSpec(row.Value)
 	if err != nil {
 		return kind.Wrap(kind.Damaged, err, "the job's row")
 	}
-	level.Info(n.kit.Log).Log("event", "cancel_waits", "job", id, "cell", cell, "version", row.Ver, "why", "its owner has not been told of it")
-	if err := n.tellOnce(ctx, cell, row.Ver, spec, row.Value); err != nil {
+	level.Info(n.kit.Log).Log("event", "cancel_waits", "job", id, "cell", cell, "version", row.Ver, "why", "the cell's owner has not been notified of it")
+	if err := n.notifyOwnerOnce(ctx, cell, row.Ver, spec, row.Value); err != nil {
 		return err
 	}
-	if err = n.cancelAt(ctx, cell, id); kind.Is(err, kind.NotFound) {
-		return kind.New(kind.Unavailable, "the cell's owner does not take the job yet").After(n.comeBack(id))
+	if err = n.cancelInCell(ctx, cell, id); kind.Is(err, kind.NotFound) {
+		return kind.New(kind.Unavailable, "the cell's owner has not accepted the job yet").After(n.retryAfter(id))
 	}
 	return err
 }
@@ -408,7 +412,7 @@
 func (n *Instance) Pending(queue string) int {
 	sum := 0
 	known := make(map[string]bool)
-	for name, c := range n.owned() {
+	for name, c := range n.ownCells() {
 		if !c.driver.Ready() {
 			continue
 		}
--- a/cluster/jobs_test.go
+++ b/cluster/jobs_test.go
@@ -19,10 +19,10 @@
 	"dewpass.org/wire"
 )
 
-// table is a store that only reads.
-type table map[rows.Key][]byte
+// readOnlyStore is a store with fixed rows that ignores writes.
+type readOnlyStore map[rows.Key][]byte
 
-func (t table) Get(_ context.Context, r rows.Range) (rows.Page, error) {
+func (t readOnlyStore) Get(_ context.Context, r rows.Range) (rows.Page, error) {
 	value, ok := t[rows.Key{Table: r.Table, Part: r.Part, Name: r.From}]
 	if !ok {
 		return rows.Page{Ver: 1}, nil
@@ -30,12 +30,12 @@
 	return rows.Page{Ver: 1, Rows: []rows.Row{{Value: value, Ver: 1}}}, nil
 }
 
-func (t table) Tx(context.Context, rows.Tx) (rows.Result, error) { return rows.Result{}, nil }
+func (t readOnlyStore) Tx(context.Context, rows.Tx) (rows.Result, error) { return rows.Result{}, nil }
 
-func (t table) Feed(context.Context, rows.Since) (rows.Page, error) { return rows.Page{}, nil }
+func (t readOnlyStore) Feed(context.Context, rows.Since) (rows.Page, error) { return rows.Page{}, nil }
 
-// instanceWithOwner returns an instance that has heard the owner of the only cell, a peer
-// that answers as h does.
+// instanceWithOwner returns an instance that has heard the owner of the only cell, a peer whose
+// requests h answers.
 func instanceWithOwner(h link.Handler) *Instance {
 	GinkgoHelper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -43,9 +43,9 @@
 	server := &link.Server{Handler: h}
 	go server.Serve(l)
 	DeferCleanup(server.Close)
-	n := testInstance(&policy{})
+	n := testInstance(&fakePolicy{})
 	n.division.set(1)
-	n.members.heard(&wire.Greeting{
+	n.members.applyGreeting(&wire.Greeting{
 		Instance: "owner", Hall: "h", Boot: "b", Addr: l.Addr().String(), Cells: []*wire.CellSummary{{Name: "cell-0"}},
 	}, time.Now())
 	return n
@@ -61,22 +61,22 @@
 	return &wire.Reply{Body: &wire.Reply_JobState{JobState: &wire.JobState{State: string(flow.Running)}}}
 }
 
-// deaf is a store that must not be asked.
-type deaf struct{ table }
+// forbiddenStore is a store that must not be read.
+type forbiddenStore struct{ readOnlyStore }
 
-func (deaf) Get(context.Context, rows.Range) (rows.Page, error) {
+func (forbiddenStore) Get(context.Context, rows.Range) (rows.Page, error) {
 	Fail("the store is asked")
 	return rows.Page{}, nil
 }
 
 var _ = Describe("the state of a job of the only cell", func() {
-	It("comes from its owner, and the store is asked for what that does not know", func(ctx context.Context) {
+	It("comes from its owner, or from the store if the owner does not know the job", func(ctx context.Context) {
 		n := instanceWithOwner(ownerPeer{job: "j"})
-		n.storeClient.Direct = deaf{}
+		n.storeClient.Direct = forbiddenStore{}
 		state, err := n.State(ctx, "j")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(state).To(Equal(flow.Running))
-		n.storeClient.Direct = table{
+		n.storeClient.Direct = readOnlyStore{
 			driver.HomeKey("old"):  []byte("cell-0"),
 			driver.EndedKey("old"): flow.Encode(flow.Ended{State: flow.Succeeded}),
 		}
@@ -88,22 +88,22 @@
 	})
 })
 
-var _ = Describe("what a probe of the store would tell", func() {
+var _ = Describe("the result of a probe of the store", func() {
 	It("is known while another call is answered and the owner is heard", func(ctx context.Context) {
-		n := testInstance(&policy{})
-		n.storeClient.Direct = table{}
-		Expect(n.known("c", time.Now())).To(BeFalse())
+		n := testInstance(&fakePolicy{})
+		n.storeClient.Direct = readOnlyStore{}
+		Expect(n.probeRedundant("c", time.Now())).To(BeFalse())
 		_, err := n.storeClient.Get(ctx, rows.Range{Table: "t"})
 		Expect(err).NotTo(HaveOccurred())
-		Expect(n.known("c", time.Now())).To(BeFalse(), "how old the cell lease is")
-		n.members.heard(&wire.Greeting{Instance: "o", Hall: "h", Boot: "b", Addr: "o", Cells: []*wire.CellSummary{{Name: "c"}}}, time.Now())
-		Expect(n.known("c", time.Now())).To(BeTrue())
-		Expect(n.known("c", time.Now().Add(watchAfter))).To(BeFalse())
+		Expect(n.probeRedundant("c", time.Now())).To(BeFalse(), "the age of the cell lease is not known")
+		n.members.applyGreeting(&wire.Greeting{Instance: "o", Hall: "h", Boot: "b", Addr: "o", Cells: []*wire.CellSummary{{Name: "c"}}}, time.Now())
+		Expect(n.probeRedundant("c", time.Now())).To(BeTrue())
+		Expect(n.probeRedundant("c", time.Now().Add(ownerTimeout))).To(BeFalse())
 	})
 })
 
 var _ = Describe("the state of a job whose cell has no owner", func() {
-	It("is that of its end, apart from the record or beside it, else that of the record", func(ctx context.Context) {
+	It("is that of its end, with or without a record, else that of the record", func(ctx context.Context) {
 		running := flow.Encode(flow.Record{State: flow.Running})
 		ended := flow.Encode(flow.Ended{State: flow.Succeeded})
 		for _, c := range []struct {
@@ -115,48 +115,48 @@
 			{running, ended, flow.Succeeded},
 			{nil, ended, flow.Succeeded},
 		} {
-			t := table{}
+			t := readOnlyStore{}
 			if c.record != nil {
 				t[driver.RecordKey("c", "j")] = c.record
 			}
 			if c.ended != nil {
 				t[driver.EndedKey("j")] = c.ended
 			}
-			n := testInstance(&policy{})
+			n := testInstance(&fakePolicy{})
 			n.storeClient.Direct = t
-			state, err := n.stored(ctx, "c", "j")
+			state, err := n.storedState(ctx, "c", "j")
 			Expect(err).NotTo(HaveOccurred())
 			Expect(state).To(Equal(c.want))
 		}
 	})
 })
 
-// A job that was forgotten was shown as pending for ever by instances that remembered
-// which cell had it: neither a record nor an end in the store was taken for a job that
+// Guards against showing a job that was deleted after its retention time as pending forever. An
+// instance that remembered the job's cell took a store with neither a record nor an end for a job that
 // had not begun.
-var _ = Describe("the state of a job that was forgotten", func() {
-	It("is not known to an instance that remembers its cell either", func(ctx context.Context) {
+var _ = Describe("the state of a job that was deleted after its retention time", func() {
+	It("is not found even by an instance that remembers its cell", func(ctx context.Context) {
 		n := instanceWithOwner(ownerPeer{})
-		n.storeClient.Direct = table{}
-		n.homes.set("j", []string{"cell-0"})
+		n.storeClient.Direct = readOnlyStore{}
+		n.jobCells.set("j", []string{"cell-0"})
 		_, err := n.State(ctx, "j")
 		Expect(kind.Is(err, kind.NotFound)).To(BeTrue())
 	})
 
-	It("is pending as long as its home is kept", func(ctx context.Context) {
+	It("is pending as long as its home row exists", func(ctx context.Context) {
 		n := instanceWithOwner(ownerPeer{})
-		n.storeClient.Direct = table{driver.HomeKey("j"): []byte("cell-0")}
-		n.homes.set("j", []string{"cell-0"})
+		n.storeClient.Direct = readOnlyStore{driver.HomeKey("j"): []byte("cell-0")}
+		n.jobCells.set("j", []string{"cell-0"})
 		state, err := n.State(ctx, "j")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(state).To(Equal(flow.Pending))
 	})
 })
 
-// lateOwner is a peer that owns a cell and does not know a job before it is told of it.
+// lateOwner is a peer that owns a cell and does not know a job before it is notified of it.
 type lateOwner struct {
 	mu       sync.Mutex
-	told     []*wire.JobSubmit
+	notified []*wire.JobSubmit
 	canceled bool
 }
 
@@ -166,36 +166,36 @@
 	state := &wire.Reply{Body: &wire.Reply_JobState{JobState: &wire.JobState{}}}
 	switch {
 	case req.GetSubmitJob() != nil:
-		o.told = append(o.told, req.GetSubmitJob())
+		o.notified = append(o.notified, req.GetSubmitJob())
 		return state
-	case req.GetAskJob() == nil || len(o.told) == 0:
+	case req.GetAskJob() == nil || len(o.notified) == 0:
 		return &wire.Reply{Error: wire.ToError(kind.New(kind.NotFound, "no such job"))}
 	}
 	o.canceled = o.canceled || req.GetAskJob().Cancel
 	return state
 }
 
-// A job was cancelled right after it had been accepted, before its cell's owner was told
-// of it. The owner did not know it, the client was told that there is no such job, and the
-// job ran.
-var _ = Describe("the cancel of a job that its owner has not been told of", func() {
-	It("is not refused: the owner is told, and cancels it", func(ctx context.Context) {
+// Guards against losing the cancellation of a job that is cancelled right after it was accepted, before
+// its cell's owner was notified. The owner did not know the job, the client was told that there is no
+// such job, and the job ran.
+var _ = Describe("the cancellation of a job that its owner has not been notified of", func() {
+	It("succeeds: the owner is notified, and cancels it", func(ctx context.Context) {
 		o := &lateOwner{}
 		n := instanceWithOwner(o)
 		spec := &flow.Spec{ID: "j", Cell: "cell-0", Queue: "q", Steps: []flow.Step{{Count: 1}}}
-		n.storeClient.Direct = table{driver.HomeKey("j"): []byte("cell-0"), driver.SpecKey("j"): flow.Encode(spec)}
+		n.storeClient.Direct = readOnlyStore{driver.HomeKey("j"): []byte("cell-0"), driver.SpecKey("j"): flow.Encode(spec)}
 		Expect(n.Cancel(ctx, "j")).To(Succeed())
 		o.mu.Lock()
 		defer o.mu.Unlock()
 		Expect(o.canceled).To(BeTrue())
-		Expect(o.told).To(HaveLen(1))
-		Expect(o.told[0].Cell).To(Equal("cell-0"))
-		Expect(o.told[0].Ver).To(BeEquivalentTo(1))
+		Expect(o.notified).To(HaveLen(1))
+		Expect(o.notified[0].Cell).To(Equal("cell-0"))
+		Expect(o.notified[0].Ver).To(BeEquivalentTo(1))
 	})
 
-	It("finds no job once that is over and its owner does not know it", func(ctx context.Context) {
+	It("finds no job if that has ended and its owner does not know it", func(ctx context.Context) {
 		n := instanceWithOwner(&lateOwner{})
-		n.storeClient.Direct = table{driver.HomeKey("j"): []byte("cell-0"), driver.EndedKey("j"): flow.Encode(flow.Ended{State: flow.Succeeded})}
+		n.storeClient.Direct = readOnlyStore{driver.HomeKey("j"): []byte("cell-0"), driver.EndedKey("j"): flow.Encode(flow.Ended{State: flow.Succeeded})}
 		Expect(kind.Is(n.Cancel(ctx, "j"), kind.NotFound)).To(BeTrue())
 	})
 })
