--- a/cluster/members.go
+++ b/cluster/members.go
@@ -13,25 +13,23 @@
 )
 
 const (
-	// silence is how long an instance of the own hall may not have been heard
-	// and still count as live; farSilence is for those of other halls, which
-	// are greeted less often.
-	silence    = 1600 * time.Millisecond
-	farSilence = 5 * time.Second
-	// cellSilence is how long a summary of a cell holds.
-	cellSilence = claim.ValidLeast + 2*claim.Margin
-	// answerWithin is how lately all must have answered, below cellSilence, of
-	// those that were heard within answerWhile.
-	answerWithin = claim.ValidLeast
-	answerWhile  = 30 * time.Second
-	// absentAfter is for how long an instance must not have answered before the cell lease
-	// names it as absent: six greetings of an owner.
-	absentAfter = 6 * greetEvery
-	// pendingSilence is how long an owner's counts stand in for those of the
-	// next one. They may be too high for a while, which harms nobody.
-	pendingSilence = 20 * time.Second
-	// forgetAfter is when the address of an instance that is not heard any more
-	// is given up.
+	// An instance counts as live if it was heard within sameHallTimeout, or within
+	// otherHallTimeout if it is in another hall: those are greeted less often.
+	sameHallTimeout  = 1600 * time.Millisecond
+	otherHallTimeout = 5 * time.Second
+	// cellSummaryTTL is how long the summary of a cell in a greeting is valid.
+	cellSummaryTTL = claim.ValidLeast + 2*claim.Margin
+	// Every member that was heard within memberWindow must have answered a greeting within
+	// answerMaxAge for allAnswered to hold. It is shorter than cellSummaryTTL.
+	answerMaxAge = claim.ValidLeast
+	memberWindow = 30 * time.Second
+	// absentAfter is how long an instance must not have answered before the cell lease names it as
+	// absent: six greetings of an owner.
+	absentAfter = 6 * ownerGreetInterval
+	// pendingTTL is how long an owner's counts of pending jobs are used until the next owner
+	// reports its own. They may be too high for a while, which does no harm.
+	pendingTTL = 20 * time.Second
+	// forgetAfter is when an address is removed at which no instance has been heard.
 	forgetAfter = 40 * time.Second
 )
 
@@ -47,34 +45,34 @@
 	processor uint32
 	config    uint64
 	cells     []*wire.CellSummary
-	heard     time.Time
-	// since is when its present boot was first heard.
-	since time.Time
-	// refused is when its address last refused a connection.
-	refused time.Time
-	// answered is when it last answered a greeting.
-	answered time.Time
-	// work is what was sent to its cells since the last summary, in milliseconds
-	// of one processor.
-	work int64
-	// asking is how long the answers take to the questions to the policy that it asks for
-	// this instance, and failed is when it last brought no answer to one.
-	asking time.Duration
-	failed time.Time
-	// carrying is how many orders it is sending for this instance.
-	carrying int
+	heardAt   time.Time
+	// bootSince is when its current process (boot) was first heard.
+	bootSince time.Time
+	// refusedAt is when its address last refused a connection.
+	refusedAt time.Time
+	// answeredAt is when the last greeting that it answered was sent.
+	answeredAt time.Time
+	// sentWork is the work sent to its cells since the last summary, in milliseconds of one
+	// processor.
+	sentWork int64
+	// adviceBacklog is the total expected time to answer the policy questions that it is asking
+	// for this instance. failedAt is when it last failed to return an answer, or results of orders.
+	adviceBacklog time.Duration
+	failedAt      time.Time
+	// relayedOrders is how many orders it is sending for this instance.
+	relayedOrders int
 }
 
-// free reports whether an instance could own a cell and owns none.
+// free reports whether the instance could own a cell and owns none.
 func (k *member) free() bool { return !k.leaving && k.storeOK && len(k.cells) == 0 }
 
-// drives reports whether an owner was heard within a time, and neither leaves nor has
+// activeWithin reports whether the instance was heard within a time, is not leaving, and has not
 // refused a connection since.
-func (k *member) drives(now time.Time, within time.Duration) bool {
-	return !k.leaving && now.Sub(k.heard) < within && k.refused.Before(k.heard)
+func (k *member) activeWithin(now time.Time, within time.Duration) bool {
+	return !k.leaving && now.Sub(k.heardAt) < within && k.refusedAt.Before(k.heardAt)
 }
 
-// members is what an instance knows of the others. Make one with newMembers.
+// members is what an instance knows of the others. Create it with newMembers.
 type members struct {
 	self string
 	hall string
@@ -82,25 +80,24 @@
 
 	mu    sync.Mutex
 	known map[string]*member
-	// addrs are addresses at which somebody may be, with when each was first
-	// heard of.
+	// addrs are addresses at which an instance may listen, with when each was first heard of.
 	addrs map[string]time.Time
-	// last holds what the owner of each cell said when it was last heard.
-	last map[string]lastWord
-	// rounds counts the rounds of greetings.
-	rounds int
-	// strongest is the largest processor of others that the store lists.
-	strongest uint32
+	// lastPending holds the last known counts of pending jobs of each cell.
+	lastPending map[string]pendingReport
+	// roundCount is the number of rounds of greetings sent.
+	roundCount int
+	// maxListedProcessor is the largest processor share of the other instances that the store lists.
+	maxListedProcessor uint32
 }
 
-// lastWord is what an owner said when it was last heard.
-type lastWord struct {
+// pendingReport is the number of pending jobs per queue that a cell's owner last reported.
+type pendingReport struct {
 	pending []*wire.QueuePending
-	heard   time.Time
+	heardAt time.Time
 }
 
 func newMembers(self, hall string, first []string, own string, now time.Time) *members {
-	m := &members{self: self, hall: hall, addr: own, known: make(map[string]*member), addrs: make(map[string]time.Time), last: make(map[string]lastWord)}
+	m := &members{self: self, hall: hall, addr: own, known: make(map[string]*member), addrs: make(map[string]time.Time), lastPending: make(map[string]pendingReport)}
 	for _, a := range first {
 		if a != own {
 			m.addrs[a] = now
@@ -109,8 +106,9 @@
 	return m
 }
 
-// heard takes in a greeting, and reports whether its sender was not known.
-func (m *members) heard(g *wire.Greeting, now time.Time) bool {
+// applyGreeting records a greeting, and reports whether its sender, or its current process, was
+// not known before.
+func (m *members) applyGreeting(g *wire.Greeting, now time.Time) bool {
 	if g == nil || g.Instance == "" || g.Instance == m.self {
 		return false
 	}
@@ -119,85 +117,85 @@
 	k := m.known[g.Instance]
 	fresh := k == nil || k.boot != g.Boot
 	if fresh {
-		k = &member{name: g.Instance, since: now}
+		k = &member{name: g.Instance, bootSince: now}
 		m.known[g.Instance] = k
 	}
 	k.hall, k.boot, k.addr = g.Hall, g.Boot, g.Addr
 	k.leaving, k.storeOK, k.config = g.Leaving, g.StoreOk, g.ConfigVersion
-	k.cells, k.heard, k.work = g.Cells, now, 0
+	k.cells, k.heardAt, k.sentWork = g.Cells, now, 0
 	k.processor = g.Processor
 	m.addrs[g.Addr] = now
 	for _, c := range g.Cells {
-		// An owner that has not read its jobs yet knows of none.
+		// An owner that has not loaded its jobs yet cannot report any.
 		if c.Ready {
-			m.last[c.Name] = lastWord{pending: c.Pending, heard: now}
+			m.lastPending[c.Name] = pendingReport{pending: c.Pending, heardAt: now}
 		}
 	}
 	for _, p := range g.Peers {
-		m.learn(p.Addr, now)
+		m.addAddr(p.Addr, now)
 	}
 	return fresh
 }
 
-// note keeps what this instance knew of a cell that it owned.
-func (m *members) note(cell string, pending []*wire.QueuePending, now time.Time) {
+// keepPending records the counts of pending jobs of a cell that this instance owned.
+func (m *members) keepPending(cell string, pending []*wire.QueuePending, now time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.last[cell] = lastWord{pending: pending, heard: now}
+	m.lastPending[cell] = pendingReport{pending: pending, heardAt: now}
 }
 
-// knows reports whether a start of an instance was heard before.
-func (m *members) knows(name, boot string) bool {
+// knowsBoot reports whether a process of an instance has been heard before.
+func (m *members) knowsBoot(name, boot string) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	k := m.known[name]
 	return k != nil && k.boot == boot
 }
 
-// learn adds an address. The lock is held.
-func (m *members) learn(addr string, now time.Time) {
+// addAddr adds an address if it is not known. The caller must hold m.mu.
+func (m *members) addAddr(addr string, now time.Time) {
 	if _, ok := m.addrs[addr]; !ok && addr != "" {
 		m.addrs[addr] = now
 	}
 }
 
-// found adds the addresses of instances that the store lists.
-func (m *members) found(listed []memberRow, now time.Time) {
+// addListed adds the instances that the store lists.
+func (m *members) addListed(listed []memberRow, now time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, row := range listed {
 		if row.Addr == m.addr {
 			continue
 		}
-		m.learn(row.Addr, now)
-		m.strongest = max(m.strongest, row.Processor)
+		m.addAddr(row.Addr, now)
+		m.maxListedProcessor = max(m.maxListedProcessor, row.Processor)
 	}
 }
 
-// listedAbove reports whether the store lists an instance with more of a processor.
+// listedAbove reports whether the store lists an instance with a larger processor share.
 func (m *members) listedAbove(processor uint32) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.strongest > processor
+	return m.maxListedProcessor > processor
 }
 
-// live reports whether k was heard lately.
+// live reports whether a member was heard recently and has not refused a connection since.
 func (m *members) live(k *member, now time.Time) bool {
-	if k.refused.After(k.heard) {
+	if k.refusedAt.After(k.heardAt) {
 		return false
 	}
 	if k.hall == m.hall {
-		return now.Sub(k.heard) < silence
+		return now.Sub(k.heardAt) < sameHallTimeout
 	}
-	return now.Sub(k.heard) < farSilence
+	return now.Sub(k.heardAt) < otherHallTimeout
 }
 
-// inHall counts the live instances of this instance's hall, itself included.
-func (m *members) inHall(now time.Time) int {
+// liveInHall counts the live instances of this instance's hall, itself included.
+func (m *members) liveInHall(now time.Time) int {
 	return 1 + len(m.list(now, func(k *member) bool { return k.hall == m.hall }))
 }
 
-// list returns copies of the live members for which keep holds, by name.
+// list returns copies of the live members for which keep returns true, sorted by name.
 func (m *members) list(now time.Time, keep func(*member) bool) []member {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -211,67 +209,69 @@
 	return out
 }
 
-// owned is a cell with the member that owns it.
-type owned struct {
+// peerCell is a cell with the member that owns it.
+type peerCell struct {
 	member
 	cell *wire.CellSummary
 }
 
-// cells returns the cells whose owners are heard, each with its newest owner.
-func (m *members) cells(now time.Time) []owned {
-	newest := m.newest(now)
-	out := make([]owned, 0, len(newest))
+// cells returns the cells whose owners were heard recently, each with its newest owner, sorted by
+// name.
+func (m *members) cells(now time.Time) []peerCell {
+	newest := m.cellsByName(now)
+	out := make([]peerCell, 0, len(newest))
 	for _, o := range newest {
 		out = append(out, o)
 	}
-	slices.SortFunc(out, func(a, b owned) int { return cmp.Compare(a.cell.Name, b.cell.Name) })
+	slices.SortFunc(out, func(a, b peerCell) int { return cmp.Compare(a.cell.Name, b.cell.Name) })
 	return out
 }
 
-// newest returns the cells whose owners are heard, by name.
-func (m *members) newest(now time.Time) map[string]owned {
+// cellsByName returns the cells whose owners were heard recently, each with its newest owner: the
+// one with the highest epoch.
+func (m *members) cellsByName(now time.Time) map[string]peerCell {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	newest := make(map[string]owned)
+	newest := make(map[string]peerCell)
 	for _, k := range m.known {
-		if len(k.cells) == 0 || now.Sub(k.heard) >= cellSilence {
+		if len(k.cells) == 0 || now.Sub(k.heardAt) >= cellSummaryTTL {
 			continue
 		}
 		for _, c := range k.cells {
 			if old, ok := newest[c.Name]; !ok || old.cell.Epoch < c.Epoch {
-				newest[c.Name] = owned{member: *k, cell: c}
+				newest[c.Name] = peerCell{member: *k, cell: c}
 			}
 		}
 	}
 	return newest
 }
 
-// owner returns the owner of a cell, nil if none is heard.
+// owner returns the owner of a cell, nil if none was heard recently.
 func (m *members) owner(name string, now time.Time) *member {
-	o, ok := m.newest(now)[name]
+	o, ok := m.cellsByName(now)[name]
 	if !ok {
 		return nil
 	}
 	return &o.member
 }
 
-// answer notes that a member has answered a greeting that was sent at sent.
-func (m *members) answer(name string, sent time.Time) {
+// markAnswered records that a member has answered a greeting that was sent at the time sent.
+func (m *members) markAnswered(name string, sent time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if k := m.known[name]; k != nil {
-		k.answered = sent
+		k.answeredAt = sent
 	}
 }
 
-// pending returns how many jobs of a queue wait in the cells that skip does not
-// hold for, as their owners last said.
+// pending returns the last reported number of pending jobs of a queue, summed over the cells for
+// which skip returns false.
 func (m *members) pending(queue string, now time.Time, skip func(cell string) bool) int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	sum := 0
-	for name, w := range m.last {
-		if skip(name) || now.Sub(w.heard) > pendingSilence {
+	for name, w := range m.lastPending {
+		if skip(name) || now.Sub(w.heardAt) > pendingTTL {
 			continue
 		}
 		for _, q := range w.pending {
@@ -283,52 +283,52 @@
 	return sum
 }
 
-// refusedAt notes that nobody listens at an address any more.
-func (m *members) refusedAt(addr string, now time.Time) {
+// markRefused records that an address refused a connection.
+func (m *members) markRefused(addr string, now time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, k := range m.known {
 		if k.addr == addr {
-			k.refused = now
+			k.refusedAt = now
 		}
 	}
 }
 
-// allAnswer reports whether every member that was heard in a while has answered
-// lately, or has no process any more: one that starts there has to watch a cell lease
-// for longer before it may take it. A refused connection shows that only from a hall
-// of which another member answers: one that is cut off may refuse them all.
-// The excused need not answer: they may not take it so soon.
-func (m *members) allAnswer(now time.Time, excused []string) bool {
+// allAnswered reports whether every member heard within memberWindow has answered recently or has
+// no process any more; a process that is started there has to watch a cell lease for longer before
+// it may take it. A refused connection counts as "no process" only if another member of the same
+// hall answers, since a hall that is cut off may refuse all connections. The excused members need
+// not answer: they may not take the lease so soon.
+func (m *members) allAnswered(now time.Time, excused []string) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	open := map[string]bool{m.hall: true}
 	for _, k := range m.known {
-		open[k.hall] = open[k.hall] || now.Sub(k.answered) <= answerWithin
+		open[k.hall] = open[k.hall] || now.Sub(k.answeredAt) <= answerMaxAge
 	}
 	for _, k := range m.known {
-		gone := now.Sub(k.refused) <= answerWithin && open[k.hall]
-		harmless := now.Sub(k.answered) <= answerWithin || gone
-		if now.Sub(k.heard) < answerWhile && !harmless && !slices.Contains(excused, k.name) {
+		gone := now.Sub(k.refusedAt) <= answerMaxAge && open[k.hall]
+		harmless := now.Sub(k.answeredAt) <= answerMaxAge || gone
+		if now.Sub(k.heardAt) < memberWindow && !harmless && !slices.Contains(excused, k.name) {
 			return false
 		}
 	}
 	return len(m.known) > 0
 }
 
-// absent returns the instances that were heard in a while and have not answered for some
-// time, by name; none if they are half of all or more, as this instance may then be the one
-// that is cut off, and the others are to take its cells without delay.
+// absent returns the names of the instances heard within memberWindow that have neither answered
+// nor been heard for absentAfter. It returns none if these are half of all or more: this instance
+// may then be the one that is cut off, and the others should take its cells without delay.
 func (m *members) absent(now time.Time) []string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	all, silent := 0, []string(nil)
 	for _, k := range m.known {
-		if now.Sub(k.heard) >= answerWhile {
+		if now.Sub(k.heardAt) >= memberWindow {
 			continue
 		}
 		all++
-		if now.Sub(k.answered) > absentAfter && now.Sub(k.heard) > absentAfter {
+		if now.Sub(k.answeredAt) > absentAfter && now.Sub(k.heardAt) > absentAfter {
 			silent = append(silent, k.name)
 		}
 	}
@@ -339,40 +339,40 @@
 	return silent
 }
 
-// sent notes work that was sent to a member's cell.
-func (m *members) sent(name string, work int64) {
+// addSentWork adds to the work sent to a member's cells.
+func (m *members) addSentWork(name string, work int64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if k := m.known[name]; k != nil {
-		k.work += work
+		k.sentWork += work
 	}
 }
 
-// asks adds to how long the answers to the questions take that a member asks for this
-// instance.
-func (m *members) asks(name string, by time.Duration) {
+// addAdviceBacklog adds to the expected time of the policy questions that a member is asking for
+// this instance.
+func (m *members) addAdviceBacklog(name string, by time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if k := m.known[name]; k != nil {
-		k.asking += by
+		k.adviceBacklog += by
 	}
 }
 
-// carries adds to how many orders a member is sending for this instance.
-func (m *members) carries(name string, by int) {
+// addRelayedOrders adds to the number of orders that a member is sending for this instance.
+func (m *members) addRelayedOrders(name string, by int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if k := m.known[name]; k != nil {
-		// A member that has started anew meanwhile counts from nothing.
-		k.carrying = max(k.carrying+by, 0)
+		// The count of a member that has restarted in between began at 0.
+		k.relayedOrders = max(k.relayedOrders+by, 0)
 	}
 }
 
-// failed notes that a member brought no answer to a question, or to orders.
-func (m *members) failed(name string, now time.Time) {
+// markFailed records that a member did not return an answer to a question, or results of orders.
+func (m *members) markFailed(name string, now time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if k := m.known[name]; k != nil {
-		k.failed = now
+		k.failedAt = now
 	}
 }
--- a/cluster/members_test.go
+++ b/cluster/members_test.go
@@ -11,7 +11,7 @@
 	"dewpass.org/wire"
 )
 
-var _ = Describe("the count of jobs that wait", func() {
+var _ = Describe("the count of pending jobs", func() {
 	now := time.Now()
 	all := func(string) bool { return false }
 	owner := func(name string, epoch uint64, ready bool, jobs uint32) *wire.Greeting {
@@ -22,20 +22,20 @@
 		return &wire.Greeting{Instance: name, Hall: "h", Boot: name, Addr: name, Cells: []*wire.CellSummary{c}}
 	}
 
-	It("is that of the last owner until the next has read its jobs", func() {
+	It("is that of the last owner until the next one has loaded its jobs", func() {
 		m := newMembers("me", "h", nil, "me", now)
-		m.heard(owner("first", 1, true, 7), now)
-		m.heard(owner("second", 2, false, 0), now)
+		m.applyGreeting(owner("first", 1, true, 7), now)
+		m.applyGreeting(owner("second", 2, false, 0), now)
 		Expect(m.pending("q", now, all)).To(Equal(7))
-		Expect(m.pending("q", now.Add(pendingSilence+1), all)).To(BeZero())
-		m.heard(owner("second", 2, true, 0), now)
+		Expect(m.pending("q", now.Add(pendingTTL+1), all)).To(BeZero())
+		m.applyGreeting(owner("second", 2, true, 0), now)
 		Expect(m.pending("q", now, all)).To(BeZero())
 	})
 
-	It("is the own last one after the cell went to another instance", func() {
+	It("is the last own count after the cell went to another instance", func() {
 		m := newMembers("me", "h", nil, "me", now)
-		m.note("c", []*wire.QueuePending{{Queue: "q", Jobs: 4}}, now)
-		m.heard(owner("second", 2, false, 0), now)
+		m.keepPending("c", []*wire.QueuePending{{Queue: "q", Jobs: 4}}, now)
+		m.applyGreeting(owner("second", 2, false, 0), now)
 		Expect(m.pending("q", now, all)).To(Equal(4))
 	})
 })
--- a/cluster/own.go
+++ b/cluster/own.go
@@ -18,15 +18,15 @@
 	claim  *claim.Claim
 }
 
-// owned returns the cells that this instance owns.
-func (n *Instance) owned() map[string]*ownCell {
+// ownCells returns the cells that this instance owns, by name.
+func (n *Instance) ownCells() map[string]*ownCell {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return maps.Clone(n.cells)
 }
 
-// own returns the driver of a cell, nil if this instance does not own it.
-func (n *Instance) own(name string) *driver.Driver {
+// ownDriver returns the driver of a cell, nil if this instance does not own it.
+func (n *Instance) ownDriver(name string) *driver.Driver {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if c := n.cells[name]; c != nil {
@@ -35,53 +35,54 @@
 	return nil
 }
 
-// drive starts to drive a cell whose former owner may give orders for a while yet.
-func (n *Instance) drive(name string, c *claim.Claim, former time.Duration) {
-	t := n.timesNow()
+// startDriver starts the driver of a cell. former is for how long the former owner may still give
+// orders.
+func (n *Instance) startDriver(name string, c *claim.Claim, former time.Duration) {
+	t := n.currentReloadable()
 	var d *driver.Driver
 	d = driver.New(driver.Config{
-		Name: name, Mine: func(rack string) bool { return n.division.draw(rack) == name },
+		Name: name, Mine: func(rack string) bool { return n.division.hashCell(rack) == name },
 		Lease: t.lease, LeaseMost: time.Duration(n.settings.Cluster.LeaseMost), Keep: t.keep, Former: former,
 		LinkRate: n.settings.Cluster.LinkRate(),
 		Claim:    c, Store: n.storeClient, Reachable: n.storeClient.Reachable,
-		Workers: n.Workers, Carriers: carriers{n}, Directory: n.Directory(n.storeClient),
-		Advise: n.advise, Callers: n.callers, HeardByAll: func() bool { return n.heardByAll(c.Written()) }, Succeeded: n.ends.all,
+		Workers: n.Workers, Carriers: relays{n}, Directory: n.Directory(n.storeClient),
+		Advise: n.advise, Callers: n.adviceConcurrency, HeardByAll: func() bool { return n.answeredByAll(c.Written()) }, Succeeded: n.successes.all,
 		Lost:         func() { n.dropDriver(name, d) },
-		LoadTimedOut: func() { n.giveUp(name, d, c) },
+		LoadTimedOut: func() { n.giveUpCell(name, d, c) },
 		Log:          n.kit.Log, Scope: n.kit.Scope,
 	})
 	n.configure(d)
 	n.mu.Lock()
 	n.cells[name] = &ownCell{driver: d, claim: c}
 	n.mu.Unlock()
-	// A version that came in between is set again.
+	// A configuration that was installed between the two calls has not reached this driver.
 	n.configure(d)
 	d.Start()
-	// Those that answer can ask the policy for this owner at once.
+	// Instances that answer can ask the policy for this owner at once.
 	go n.greet(context.Background())
 }
 
-// configure gives a cell the newest configuration. Each cell has an equal part of the limits of
-// client accounts: no owner has to ask another one before a start, nor for how long one that
-// is cut off goes on.
+// configure applies the newest configuration to a cell. Each cell has an equal part of the limits of
+// client accounts, so that no owner has to ask another one before a start, nor to know for how long
+// one that is cut off goes on.
 func (n *Instance) configure(d *driver.Driver) {
 	if conf := n.config.Now(); conf != nil {
 		d.Configure(conf.CellQueues(), conf.CellAccounts(len(n.division.cells()))...)
 	}
 }
 
-// heardByAll reports whether every other instance that was heard lately has answered the
-// last greetings, or may not take a cell so soon after its last write, and so will not take
-// it from this one.
-func (n *Instance) heardByAll(last claim.Write) bool {
+// answeredByAll reports whether no other instance will take a cell from this one: each that was heard
+// lately has answered the last greetings, or may not take the cell so soon after the write last.
+func (n *Instance) answeredByAll(last claim.Write) bool {
 	now := clock.Now()
-	return n.members.allAnswer(now, last.Excused(now))
+	return n.members.allAnswered(now, last.Excused(now))
 }
 
+// dropDriver stops the driver of a cell that this instance no longer owns.
 func (n *Instance) dropDriver(name string, d *driver.Driver) {
 	if d.Loaded() {
 		load := d.Load()
-		n.members.note(name, pendingOf(load), clock.Now())
+		n.members.keepPending(name, pendingOf(load), clock.Now())
 	}
 	n.mu.Lock()
 	if c := n.cells[name]; c != nil && c.driver == d {
--- a/cluster/peers.go
+++ b/cluster/peers.go
@@ -48,30 +48,30 @@
 		}
 		return &wire.Reply{Body: &wire.Reply_Config{Config: doc}}, nil
 	}
-	return nil, kind.New(kind.BadRequest, "a peer's request is not known here")
+	return nil, kind.New(kind.BadRequest, "unknown type of peer request")
 }
 
-// handleGreeting answers a greeting. A sender that was not known is told of some of
-// the others.
+// handleGreeting answers a greeting. A sender that was not known is told addresses of some of the
+// others.
 func (n *Instance) handleGreeting(g *wire.Greeting) *wire.Reply {
 	now := clock.Now()
 	own := n.greeting()
-	if !n.members.knows(g.Instance, g.Boot) {
-		for _, addr := range n.members.some(g.Addr, now) {
+	if !n.members.knowsBoot(g.Instance, g.Boot) {
+		for _, addr := range n.members.addrsAfter(g.Addr, now) {
 			own.Peers = append(own.Peers, &wire.Peer{Addr: addr})
 		}
 	}
 	if len(g.Cells) > 0 {
-		own.Succeeded = append(own.Succeeded, n.ends.forOwner(g.Boot, now)...)
+		own.Succeeded = append(own.Succeeded, n.successes.forOwner(g.Boot, now)...)
 	}
-	n.greeted(g)
+	n.applyGreeting(g)
 	return &wire.Reply{Body: &wire.Reply_Greeting{Greeting: own}}
 }
 
 func (n *Instance) handleSubmit(s *wire.JobSubmit) (*wire.Reply, error) {
-	d := n.own(s.Cell)
+	d := n.ownDriver(s.Cell)
 	if d == nil {
-		return nil, kind.New(kind.Unavailable, "the cell is not here")
+		return nil, kind.New(kind.Unavailable, "this instance does not own the cell")
 	}
 	spec, err := flow.DecodeSpec(s.Spec)
 	if err != nil {
@@ -81,15 +81,15 @@
 }
 
 func (n *Instance) handleAsk(ctx context.Context, a *wire.JobAsk) (*wire.Reply, error) {
-	d := n.own(a.Cell)
+	d := n.ownDriver(a.Cell)
 	if d == nil || !d.Ready() {
-		return nil, kind.New(kind.Unavailable, "the cell is not here")
+		return nil, kind.New(kind.Unavailable, "this instance does not own the cell or has not loaded its jobs")
 	}
 	if a.Checked && !d.MayUse(a.Id, a.Account) {
-		return nil, errForeign()
+		return nil, errOtherAccount()
 	}
 	if a.Cancel {
-		ctx, cancel := context.WithTimeout(ctx, cancelTime)
+		ctx, cancel := context.WithTimeout(ctx, cancelTimeout)
 		defer cancel()
 		return &wire.Reply{Body: &wire.Reply_JobState{JobState: &wire.JobState{}}}, d.Cancel(ctx, a.Id)
 	}
@@ -100,14 +100,14 @@
 	return &wire.Reply{Body: &wire.Reply_JobState{JobState: &wire.JobState{State: string(s)}}}, nil
 }
 
-// carry sends a call to the store by a peer that reaches it.
-func (n *Instance) carry(ctx context.Context, call []byte) ([]byte, error) {
+// relayStoreCall sends a call to the store through a peer that reaches it.
+func (n *Instance) relayStoreCall(ctx context.Context, call []byte) ([]byte, error) {
 	peers := n.members.list(clock.Now(), func(k *member) bool { return k.storeOK })
 	slices.SortStableFunc(peers, func(a, b member) int {
-		return cmp.Compare(n.farther(a), n.farther(b))
+		return cmp.Compare(n.hallDistance(a), n.hallDistance(b))
 	})
-	for _, p := range peers[:min(len(peers), storeCarriers)] {
-		one, cancel := context.WithTimeout(ctx, carryTime)
+	for _, p := range peers[:min(len(peers), maxStoreRelays)] {
+		one, cancel := context.WithTimeout(ctx, storeRelayTimeout)
 		reply, err := n.dialer.Do(one, p.addr, &wire.Request{Body: &wire.Request_Store{Store: &wire.StoreCall{Call: call}}})
 		cancel()
 		if err == nil {
@@ -121,26 +121,27 @@
 }
 
 const (
-	storeCarriers = 3
-	carryTime     = 900 * time.Millisecond
+	maxStoreRelays    = 3
+	storeRelayTimeout = 900 * time.Millisecond
 )
 
-// farther is 1 for a member of another hall.
-func (n *Instance) farther(m member) int {
+// hallDistance is 0 for a member of this instance's hall, and 1 for one of another hall.
+func (n *Instance) hallDistance(m member) int {
 	if m.hall == n.settings.Hall {
 		return 0
 	}
 	return 1
 }
 
-// draw spreads the choices of several owners over the same callers.
-func (n *Instance) draw(name string) uint32 { return draw(n.settings.Instance + "/" + name) }
+// tieBreak orders equal candidates differently on each instance, so that several owners spread their
+// choices over the same instances.
+func (n *Instance) tieBreak(name string) uint32 { return hash32(n.settings.Instance + "/" + name) }
 
-// draw turns a text into a number that is as good as drawn by lot.
-func draw(text string) uint32 {
+// hash32 returns a well-mixed hash of a text.
+func hash32(text string) uint32 {
 	h := fnv.New32a()
 	_, _ = h.Write([]byte(text))
-	// The last bytes of similar texts would leave the high bits alike.
+	// FNV alone leaves the high bits alike for texts that differ only in the last bytes.
 	x := h.Sum32()
 	x ^= x >> 16
 	x *= 0x7feb352d
--- a/cluster/rounds.go
+++ b/cluster/rounds.go
@@ -7,24 +7,22 @@
 	"time"
 )
 
-// An instance that owns no cell greets a few others, the same ones again and again:
-// those that follow it when all addresses are sorted. What it spends on greetings,
-// and how many connections it keeps, does not grow with the number of instances, and
-// each is greeted by as many as it greets. Owners greet everybody, so that everybody
-// hears of all cells.
+// An instance that owns no cell greets a few others, always the same ones: those that follow it when
+// all addresses are sorted. So the cost of its greetings, and the number of its connections, do not
+// grow with the number of instances, and each instance is greeted by as many as it greets. Owners
+// greet everybody, so that everybody hears of all cells.
 const (
-	// nearMost is how many instances of the own hall a round reaches.
-	nearMost = 4
-	// farMost is how many other addresses are greeted, each once in farRounds rounds,
-	// and in each round while it is new.
-	farMost   = 8
-	farRounds = 4
-	newFor    = 3 * time.Second
+	// maxNear is how many instances of its own hall an instance greets in each round.
+	maxNear = 4
+	// maxFar is how many other addresses are greeted, each once in farRounds rounds, and in each
+	// round during the first newAddrTime after it was learned.
+	maxFar      = 8
+	farRounds   = 4
+	newAddrTime = 3 * time.Second
 )
 
-// following returns the most addresses that follow own in a sorted list, which goes
-// on at its beginning.
-func following(sorted []string, own string, most int) []string {
+// successors returns the most addresses that follow own in a sorted list, continuing at its start.
+func successors(sorted []string, own string, most int) []string {
 	if len(sorted) <= most {
 		return sorted
 	}
@@ -36,46 +34,45 @@
 	return out
 }
 
-// all returns the addresses of all instances that may be there.
-func (m *members) all(now time.Time) []string {
+// allAddrs returns the addresses of all instances that may be there.
+func (m *members) allAddrs(now time.Time) []string {
 	near, far := m.addresses(now)
 	return append(near, far...)
 }
 
-// round returns the addresses to greet in the next round.
-func (m *members) round(now time.Time) []string {
+// nextRound returns the addresses to greet in the next round.
+func (m *members) nextRound(now time.Time) []string {
 	near, far := m.addresses(now)
-	out := slices.Clone(following(near, m.addr, nearMost))
+	out := slices.Clone(successors(near, m.addr, maxNear))
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.rounds++
-	for i, addr := range following(far, m.addr, farMost) {
-		if i%farRounds == m.rounds%farRounds || now.Sub(m.addrs[addr]) < newFor {
+	m.roundCount++
+	for i, addr := range successors(far, m.addr, maxFar) {
+		if i%farRounds == m.roundCount%farRounds || now.Sub(m.addrs[addr]) < newAddrTime {
 			out = append(out, addr)
 		}
 	}
 	return out
 }
 
-// some returns the addresses of live instances that follow an address, as many as an
-// instance greets.
-func (m *members) some(addr string, now time.Time) []string {
+// addrsAfter returns the addresses of live instances that follow addr, as many as an instance greets.
+func (m *members) addrsAfter(addr string, now time.Time) []string {
 	var all []string
 	for _, k := range m.list(now, func(k *member) bool { return k.addr != addr }) {
 		all = append(all, k.addr)
 	}
 	slices.Sort(all)
-	return following(all, addr, nearMost+farMost)
+	return successors(all, addr, maxNear+maxFar)
 }
 
-// addresses returns the addresses of the live instances of the own hall, and all
-// others, sorted. An address at which nobody was heard for forgetAfter is given up.
+// addresses returns the addresses of the live instances of the own hall (near), and all others (far),
+// sorted. It removes addresses at which no instance has been heard for forgetAfter.
 func (m *members) addresses(now time.Time) (near, far []string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	at := make(map[string]*member, len(m.known))
 	for _, k := range m.known {
-		if old := at[k.addr]; old == nil || k.heard.After(old.heard) {
+		if old := at[k.addr]; old == nil || k.heardAt.After(old.heardAt) {
 			at[k.addr] = k
 		}
 	}
--- a/cluster/stop_test.go
+++ b/cluster/stop_test.go
@@ -16,11 +16,11 @@
 	"dewpass.org/internal/drain"
 )
 
-// A caller heard EOF for a POST that it had just written, at a planned stop with a
-// grace of 4 s. The wait for connections ended at 6/10 of the grace, 2.4 s after the
-// stop began, and the notice before it takes 2.5 s: the wait had no time at all, and
-// http.Server.Shutdown came at once. From then on the server drops each request that
-// it reads, also on a connection that is new or active:
+// Guards against cutting a request at a planned stop. With a grace of 4 s the wait for connections
+// ended at 6/10 of the grace, 2.4 s after the stop began, but the notice before it takes 2.5 s. So
+// there was no wait, and http.Server.Shutdown was called at once. From then on the server drops each
+// request that it reads, even on a connection that is new or active, and a client got EOF for a POST
+// that it had just written:
 //
 //	22.948714 client: connected, 22.948751 request written
 //	22.948951 server: connection new, listener closed, wait over, Shutdown
@@ -39,8 +39,8 @@
 		others  []*drain.Server
 	)
 	BeforeEach(func(ctx context.Context) {
-		n = testInstance(&policy{})
-		n.times.grace = leastGrace
+		n = testInstance(&fakePolicy{})
+		n.reloadable.grace = leastGrace
 		n.settings.Listen.HTTP, n.settings.Listen.Peer, n.settings.Cluster.Ready = "127.0.0.1:0", "127.0.0.1:0", "127.0.0.1:0"
 		n.Readiness = func(func() bool) http.Handler { return http.NotFoundHandler() }
 		n.Front = func(n *Instance) http.Handler {
@@ -61,7 +61,7 @@
 	}
 	dial := func() (net.Conn, *bufio.Reader) {
 		GinkgoHelper()
-		c, err := net.Dial("tcp", n.front.Addr().String())
+		c, err := net.Dial("tcp", n.clientServer.Addr().String())
 		Expect(err).NotTo(HaveOccurred())
 		DeferCleanup(func() { _ = c.Close() })
 		return c, bufio.NewReader(c)
@@ -80,23 +80,23 @@
 		Expect(time.Since(begun)).To(BeNumerically("<", leastGrace))
 	}
 
-	It("answers a request that comes on a kept connection after the notice", func() {
+	It("answers a request that arrives on a kept-alive connection after the notice", func() {
 		c, r := dial()
 		fmt.Fprint(c, head+rest)
 		wantAnswer(r)
 		stop()
-		at(notice + 200*time.Millisecond)
+		at(noticeTime + 200*time.Millisecond)
 		fmt.Fprint(c, head+rest)
 		Expect(wantAnswer(r).Close).To(BeTrue())
 		wantStopped()
 	})
 
-	It("answers a request that is on its way when the notice is over", func() {
+	It("answers a request that is partly sent when the notice is over", func() {
 		stop()
-		at(notice - 300*time.Millisecond)
+		at(noticeTime - 300*time.Millisecond)
 		c, r := dial()
 		fmt.Fprint(c, head)
-		at(notice + 200*time.Millisecond)
+		at(noticeTime + 200*time.Millisecond)
 		fmt.Fprint(c, rest)
 		Expect(wantAnswer(r).Close).To(BeTrue())
 		wantStopped()
@@ -108,21 +108,21 @@
 		wantStopped()
 	})
 
-	// With 4.8 s for each of seven instances that were restarted 1 s apart, in place of
-	// 3.6 s, so many were away at once that the worst seconds fell from 0.96 of the worth to 0.79.
+	// With stops of 4.8 s instead of 3.6 s for each of seven instances that were restarted 1 s apart,
+	// so many were away at once that the score of the worst seconds fell from 0.96 to 0.79.
 	It("ends soon after the notice though a caller keeps its connection and the grace is long", func() {
-		n.times.grace = 4 * leastGrace
+		n.reloadable.grace = 4 * leastGrace
 		c, r := dial()
 		fmt.Fprint(c, head+rest)
 		wantAnswer(r)
 		stop()
-		Eventually(stopped, n.times.grace).Should(BeClosed())
-		Expect(time.Since(begun)).To(BeNumerically("<", notice+lingerTime+500*time.Millisecond))
+		Eventually(stopped, n.reloadable.grace).Should(BeClosed())
+		Expect(time.Since(begun)).To(BeNumerically("<", noticeTime+lingerTime+500*time.Millisecond))
 	})
 
 	It("ends with the notice when nobody is connected", func() {
 		stop()
 		wantStopped()
-		Expect(time.Since(begun)).To(BeNumerically("<", notice+300*time.Millisecond))
+		Expect(time.Since(begun)).To(BeNumerically("<", noticeTime+300*time.Millisecond))
 	})
 })
--- a/cluster/suspended.go
+++ b/cluster/suspended.go
@@ -10,31 +10,31 @@
 	"dewpass.org/internal/clock"
 )
 
-// suspendedLeast is the shortest suspension that is told of: shorter ones cost no lease.
-const suspendedLeast = 50 * time.Millisecond
+// minSuspension is the shortest suspension that is reported: shorter ones cost no lease.
+const minSuspension = 50 * time.Millisecond
 
-// suspensions follows for how long the machine was suspended.
-type suspensions struct {
-	total func() time.Duration
-	seen  time.Duration
+// suspensionTracker tracks for how long the machine was suspended. total returns the total so far.
+type suspensionTracker struct {
+	total    func() time.Duration
+	reported time.Duration
 }
 
-// last returns how much longer the machine was suspended since the last call that returned
-// some, 0 for next to nothing.
-func (s *suspensions) last() time.Duration {
+// sinceReported returns for how long the machine was suspended since the last call that returned more
+// than 0. It returns 0 for less than minSuspension.
+func (s *suspensionTracker) sinceReported() time.Duration {
 	total := s.total()
-	more := total - s.seen
-	if more < suspendedLeast {
+	more := total - s.reported
+	if more < minSuspension {
 		return 0
 	}
-	s.seen = total
+	s.reported = total
 	return more
 }
 
-// tellSuspended logs that the machine was suspended. All leases count that time, so that what
-// was valid before is not any more.
-func (n *Instance) tellSuspended(s *suspensions) {
-	if more := s.last(); more > 0 {
+// reportSuspension logs and counts a suspension of the machine. All leases count that time, so that
+// leases that were valid before may have expired.
+func (n *Instance) reportSuspension(s *suspensionTracker) {
+	if more := s.sinceReported(); more > 0 {
 		n.kit.Scope.Counter("suspensions_total").Inc(1)
 		level.Warn(n.kit.Log).Log("event", "suspended", "for_ms", more.Milliseconds(), "all_ms", clock.Suspended().Milliseconds())
 	}
--- a/cluster/texts.go
+++ b/cluster/texts.go
@@ -9,30 +9,30 @@
 )
 
 const (
-	// textsMost is how many texts of jobs an instance keeps that sends orders for owners: of
-	// 4 KB each at the most, 1 MB.
-	textsMost = 256
-	// givenFor is for how long an owner takes it that an instance has a text it was given.
-	givenFor = 20 * time.Second
+	// maxJobTexts is how many texts of jobs an instance caches for relaying orders: at most 4 KB
+	// each, 1 MB in total.
+	maxJobTexts = 256
+	// holderTTL is how long an owner assumes that an instance still has a text that it was sent.
+	holderTTL = 20 * time.Second
 )
 
-// texts keeps the texts of the jobs for which orders were sent last. Its zero value is empty.
-type texts struct {
+// jobTexts caches the texts of the jobs whose orders were relayed last. The zero value is empty.
+type jobTexts struct {
 	mu    sync.Mutex
 	texts map[string]string
-	// order holds the jobs, the one used last at the end.
+	// order holds the jobs, the least recently used first.
 	order []string
 }
 
-// get returns the text of a job, "" if it is not here.
-func (t *texts) get(job string) string {
+// get returns the text of a job, "" if it is not cached.
+func (t *jobTexts) get(job string) string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.texts[job]
 }
 
-// set keeps the text of a job that is used.
-func (t *texts) set(job, text string) {
+// set caches the text of a job as the most recently used one.
+func (t *jobTexts) set(job, text string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.texts == nil {
@@ -43,57 +43,57 @@
 	}
 	t.texts[job] = text
 	t.order = append(t.order, job)
-	for len(t.order) > textsMost {
+	for len(t.order) > maxJobTexts {
 		delete(t.texts, t.order[0])
 		t.order = slices.Delete(t.order, 0, 1)
 	}
 }
 
-// given says which instances an owner has given the text of a job. Its zero value is empty.
-type given struct {
+// textHolders records to which instances an owner has sent the text of a job. The zero value is empty.
+type textHolders struct {
 	mu   sync.Mutex
-	jobs map[string]*givenText
+	jobs map[string]*holderList
 }
 
-type givenText struct {
-	to   []string
-	last time.Time
+type holderList struct {
+	instances []string
+	lastSent  time.Time
 }
 
-// add notes that an instance has the text of a job.
-func (g *given) add(job, name string, now time.Time) {
+// add records that an instance has the text of a job.
+func (g *textHolders) add(job, name string, now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.jobs == nil {
-		g.jobs = make(map[string]*givenText)
+		g.jobs = make(map[string]*holderList)
 	}
 	t := g.jobs[job]
 	if t == nil {
 		g.forget(now)
-		t = &givenText{}
+		t = &holderList{}
 		g.jobs[job] = t
 	}
-	t.last = now
-	if !slices.Contains(t.to, name) {
-		t.to = append(t.to, name)
+	t.lastSent = now
+	if !slices.Contains(t.instances, name) {
+		t.instances = append(t.instances, name)
 	}
 }
 
-// forget removes the jobs for which nothing was sent in a while. The lock is held.
-func (g *given) forget(now time.Time) {
+// forget removes the jobs for which nothing was sent for holderTTL. The caller must hold g.mu.
+func (g *textHolders) forget(now time.Time) {
 	for job, t := range g.jobs {
-		if now.Sub(t.last) > givenFor {
+		if now.Sub(t.lastSent) > holderTTL {
 			delete(g.jobs, job)
 		}
 	}
 }
 
 // holders returns the instances that have the text of a job.
-func (g *given) holders(job string, now time.Time) []string {
+func (g *textHolders) holders(job string, now time.Time) []string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if t := g.jobs[job]; t != nil && now.Sub(t.last) <= givenFor {
-		return slices.Clone(t.to)
+	if t := g.jobs[job]; t != nil && now.Sub(t.lastSent) <= holderTTL {
+		return slices.Clone(t.instances)
 	}
 	return nil
 }
--- a/cluster/upkeep.go
+++ b/cluster/upkeep.go
@@ -12,34 +12,34 @@
 )
 
 const (
-	// upkeepEvery spaces the steps of waves of upkeep, and upkeepTime bounds one.
-	upkeepEvery = 2 * time.Second
-	upkeepTime  = 4 * time.Second
+	// upkeepInterval is the time between steps of upkeep waves, and upkeepTimeout limits one step.
+	upkeepInterval = 2 * time.Second
+	upkeepTimeout  = 4 * time.Second
 )
 
-// upkeepLoop carries out waves of upkeep for the cells that this instance owns.
+// upkeepLoop runs upkeep waves for the cells that this instance owns, until ctx ends.
 func (n *Instance) upkeepLoop(ctx context.Context) {
 	if n.Upkeep == nil {
 		return
 	}
 	platform := n.Upkeep(n.storeClient)
 	for ctx.Err() == nil {
-		sleep(ctx, upkeepEvery)
-		for name, c := range n.owned() {
+		sleep(ctx, upkeepInterval)
+		for name, c := range n.ownCells() {
 			if c.driver.Ready() {
-				n.upkeepStep(ctx, platform, name, c)
+				n.runUpkeepStep(ctx, platform, name, c)
 			}
 		}
 	}
 }
 
-func (n *Instance) upkeepStep(ctx context.Context, platform upkeep.Platform, name string, c *ownCell) {
-	ctx, cancel := context.WithTimeout(ctx, upkeepTime)
+func (n *Instance) runUpkeepStep(ctx context.Context, platform upkeep.Platform, name string, c *ownCell) {
+	ctx, cancel := context.WithTimeout(ctx, upkeepTimeout)
 	defer cancel()
 	r := upkeep.Runner{
 		Platform: platform, Store: n.storeClient, Cell: c.driver,
 		Holder: n.settings.Instance, Fence: c.claim.Epoch(),
-		Mine: func(rack string) bool { return n.division.draw(rack) == name },
+		Mine: func(rack string) bool { return n.division.hashCell(rack) == name },
 		Log:  n.kit.Log,
 	}
 	if err := r.Step(ctx); err != nil {
--- a/cluster/yield.go
+++ b/cluster/yield.go
@@ -16,22 +16,22 @@
 )
 
 const (
-	// slowPause is how long an instance takes no cell after it was too slow for
-	// one.
-	slowPause = 10 * time.Second
-	// A cell goes to an instance with strongerShare hundredths of this one's
-	// processor that was heard for strongerFor; yieldEvery spaces the looks.
-	strongerShare = 140
-	strongerFor   = 800 * time.Millisecond
-	yieldEvery    = 300 * time.Millisecond
+	// slowLoadPause is how long an instance claims no cell after it failed to load the jobs of one
+	// in time.
+	slowLoadPause = 10 * time.Second
+	// A cell is yielded to an instance with strongerPercent of this one's processor share that has
+	// been heard for strongerHeardTime; this is checked every yieldInterval.
+	strongerPercent   = 140
+	strongerHeardTime = 800 * time.Millisecond
+	yieldInterval     = 300 * time.Millisecond
 )
 
-// stronger returns the name of an instance that owns no cell and would be a much
-// better owner than this one, "" if there is none. When all start at once the first
-// one takes a cell, however small its machine.
-func (n *Instance) stronger(now time.Time) string {
+// strongerIdle returns the name of an instance that owns no cell and has a much larger processor
+// share, "" if there is none. When all instances start at once the first one takes a cell, however
+// small its machine.
+func (n *Instance) strongerIdle(now time.Time) string {
 	better := n.members.list(now, func(k *member) bool {
-		return k.free() && k.processor > n.enough() && now.Sub(k.since) > strongerFor
+		return k.free() && k.processor > n.strongerThreshold() && now.Sub(k.bootSince) > strongerHeardTime
 	})
 	if len(better) == 0 {
 		return ""
@@ -39,11 +39,11 @@
 	return better[0].name
 }
 
-// yieldLoop hands cells to stronger instances.
+// yieldLoop yields cells to stronger or idle instances until ctx ends.
 func (n *Instance) yieldLoop(ctx context.Context) {
 	for ctx.Err() == nil {
-		sleep(ctx, yieldEvery)
-		own := n.owned()
+		sleep(ctx, yieldInterval)
+		own := n.ownCells()
 		if len(own) == 0 || n.leaving.Load() {
 			continue
 		}
@@ -53,23 +53,23 @@
 	}
 }
 
-// surplus returns which of its own cells this instance should hand over, and to whom:
-// all to a much stronger one, one of several to one alike. The name is "" for none.
+// surplus returns which of its own cells this instance should yield, and to whom: all to a much
+// stronger instance, one of several to an idle one of about the same strength. The name is "" for none.
 func (n *Instance) surplus(own map[string]*ownCell, now time.Time) (map[string]*ownCell, string) {
-	if to := n.stronger(now); to != "" {
+	if to := n.strongerIdle(now); to != "" {
 		return own, to
 	}
 	if len(own) < 2 {
 		return nil, ""
 	}
-	return oneOf(own), n.idler(now)
+	return lastByName(own), n.idlePeer(now)
 }
 
-// idler returns the name of an instance that owns no cell and would be about as good
-// an owner as this one, "" if there is none.
-func (n *Instance) idler(now time.Time) string {
+// idlePeer returns the name of an instance that owns no cell and has about this one's processor share
+// or more, "" if there is none.
+func (n *Instance) idlePeer(now time.Time) string {
 	idle := n.members.list(now, func(k *member) bool {
-		return k.free() && k.processor*strongerShare/100 >= n.processor() && now.Sub(k.since) > strongerFor
+		return k.free() && k.processor*strongerPercent/100 >= n.processor() && now.Sub(k.bootSince) > strongerHeardTime
 	})
 	if len(idle) == 0 {
 		return ""
@@ -77,28 +77,28 @@
 	return idle[0].name
 }
 
-// oneOf returns the last by name of some cells.
-func oneOf(own map[string]*ownCell) map[string]*ownCell {
+// lastByName returns the cell with the last name.
+func lastByName(own map[string]*ownCell) map[string]*ownCell {
 	name := slices.Max(slices.Collect(maps.Keys(own)))
 	return map[string]*ownCell{name: own[name]}
 }
 
-// yield hands cells over and takes none for a while, so that the other instance may.
+// yield hands cells over and claims none for a while, so that the other instance can.
 func (n *Instance) yield(ctx context.Context, own map[string]*ownCell, to string) {
 	level.Info(n.kit.Log).Log("event", "cells_yielded", "to", to, "cells", len(own), "processor", n.processor())
-	n.rest(strongerFor)
-	ctx, cancel := context.WithTimeout(ctx, handoverMax)
+	n.pauseElection(strongerHeardTime)
+	ctx, cancel := context.WithTimeout(ctx, handoverTimeout)
 	defer cancel()
 	n.handOver(ctx, own)
 }
 
-// giveUp gives a cell up whose jobs this instance cannot read in time, and takes
-// none for a while.
-func (n *Instance) giveUp(name string, d *driver.Driver, c *claim.Claim) {
-	level.Warn(n.kit.Log).Log("event", "cell_lease_given_up", "cell", name, "epoch", c.Epoch(), "why", "its jobs take too long to read")
-	n.rest(slowPause)
+// giveUpCell releases a cell whose jobs this instance could not load in time, and claims none for a
+// while.
+func (n *Instance) giveUpCell(name string, d *driver.Driver, c *claim.Claim) {
+	level.Warn(n.kit.Log).Log("event", "cell_lease_given_up", "cell", name, "epoch", c.Epoch(), "why", "its jobs were not loaded in time")
+	n.pauseElection(slowLoadPause)
 	d.Freeze()
-	ctx, cancel := context.WithTimeout(context.Background(), handoverMax)
+	ctx, cancel := context.WithTimeout(context.Background(), handoverTimeout)
 	defer cancel()
 	if err := c.Release(ctx); err != nil {
 		level.Warn(n.kit.Log).Log("event", "cell_lease_not_released", "cell", name, "err", err)
@@ -106,21 +106,21 @@
 	n.dropDriver(name, d)
 }
 
-// rest lets this instance take no cell for a while.
-func (n *Instance) rest(d time.Duration) {
+// pauseElection keeps this instance from claiming a cell for a while.
+func (n *Instance) pauseElection(d time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.resting = clock.Now().Add(d)
+	n.electionPausedUntil = clock.Now().Add(d)
 }
 
-// restsUntil returns until when this instance takes no cell.
-func (n *Instance) restsUntil() time.Time {
+// electionPause returns until when this instance claims no cell.
+func (n *Instance) electionPause() time.Time {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.resting
+	return n.electionPausedUntil
 }
 
-// handOver releases the leases of some cells as planned.
+// handOver releases the leases of cells in a planned way, and greets everybody to announce it.
 func (n *Instance) handOver(ctx context.Context, cells map[string]*ownCell) {
 	for name, c := range cells {
 		c.driver.Freeze()
@@ -129,8 +129,8 @@
 		}
 		n.dropDriver(name, c.driver)
 	}
-	n.greetNow(ctx)
+	n.greetAll(ctx)
 }
 
-// enough returns the processor beyond which another instance is much stronger.
-func (n *Instance) enough() uint32 { return n.processor() * strongerShare / 100 }
+// strongerThreshold returns the processor share above which another instance is much stronger.
+func (n *Instance) strongerThreshold() uint32 { return n.processor() * strongerPercent / 100 }
