--- a/cluster/accept.go
+++ b/cluster/accept.go
@@ -48,7 +48,6 @@
 	ctx, cancel := context.WithTimeout(ctx, acceptTimeout)
 	defer cancel()
 	if !n.awaitStore(ctx) {
-		// The job has ended, or its owner finds it by itself.
 		return n.refuse(spec.ID, "the store is not reached")
 	}
 	cell := n.chooseCell(spec)
@@ -99,7 +98,7 @@
 	if !k.written {
 		row, err := n.readJobRow(ctx, driver.SpecKey(spec.ID))
 		if err != nil || row.Ver == 0 {
-			// It is over, or its owner finds it by itself.
+			// The job has ended, or its owner finds it by itself.
 			return
 		}
 		if spec, err = flow.DecodeSpec(row.Value); err != nil {
@@ -107,11 +106,11 @@
 			return
 		}
 	}
-	var told sync.WaitGroup
+	var wg sync.WaitGroup
 	for _, cell := range k.cells {
-		told.Go(func() { n.notifyOwner(ctx, cell, k.ver, spec) })
+		wg.Go(func() { n.notifyOwner(ctx, cell, k.ver, spec) })
 	}
-	told.Wait()
+	wg.Wait()
 }
 
 // awaitStore waits a moment for the store to be reachable, and reports whether it is.
--- a/cluster/carry.go
+++ b/cluster/carry.go
@@ -206,11 +206,11 @@
 	}
 	n.texts.set(m.Job, m.Text)
 	results := make([]*wire.StartResult, len(m.Orders))
-	var all sync.WaitGroup
+	var wg sync.WaitGroup
 	for i, o := range m.Orders {
-		all.Go(func() { results[i] = n.sendStart(ctx, m, o) })
+		wg.Go(func() { results[i] = n.sendStart(ctx, m, o) })
 	}
-	all.Wait()
+	wg.Wait()
 	return &wire.Reply{Body: &wire.Reply_Starts{Starts: &wire.StartResults{Results: results}}}, nil
 }
 
--- a/cluster/configs.go
+++ b/cluster/configs.go
@@ -37,8 +37,8 @@
 	// queues every 7 minutes. minFullReadInterval is the minimum time between two such reads.
 	fullReadRate        = 2 << 10
 	minFullReadInterval = 5 * time.Second
-	// fullReadRedundancy is how many times as often as needed the instances of a hall together read
-	// the whole document, so that some do while others are down.
+	// The instances of a hall together read the whole document fullReadRedundancy times as often as
+	// a single one would, so that some do while others are down.
 	fullReadRedundancy = 4
 	// fetchDelay is how long the store's feed has to start to deliver a configuration that a peer
 	// has: longer than a large one takes over an ordinary link.
@@ -87,12 +87,12 @@
 	var f feedState
 	for ctx.Err() == nil {
 		now := clock.Now()
-		audit := fullReadInterval(n.config.Now()) * time.Duration(fullReadDivisor(n.members.liveInHall(now)))
-		whole := f.needsFullRead(now, audit)
+		interval := fullReadInterval(n.config.Now()) * time.Duration(fullReadDivisor(n.members.liveInHall(now)))
+		full := f.needsFullRead(now, interval)
 		begun := clock.Now()
-		c, from, at, err := n.readConfig(ctx, whole, f.position)
+		c, from, at, err := n.readConfig(ctx, full, f.position)
 		n.finishTransfer(c, from, begun, err)
-		f.update(whole, at, err, clock.Now())
+		f.update(full, at, err, clock.Now())
 		if err == nil {
 			now := clock.Now()
 			n.configConfirmedAt.Store(&now)
@@ -113,10 +113,10 @@
 	answeredAt, fullReadAt time.Time
 }
 
-// needsFullRead reports whether the whole document is to be read next. audit is the interval between
+// needsFullRead reports whether the whole document is to be read next. interval is the time between
 // such reads.
-func (f *feedState) needsFullRead(now time.Time, audit time.Duration) bool {
-	return f.position == 0 || now.Sub(f.answeredAt) > positionTTL || now.Sub(f.fullReadAt) > audit
+func (f *feedState) needsFullRead(now time.Time, interval time.Duration) bool {
+	return f.position == 0 || now.Sub(f.answeredAt) > positionTTL || now.Sub(f.fullReadAt) > interval
 }
 
 // fullReadDivisor returns by how much less often than alone each of inHall instances of a hall reads
@@ -126,8 +126,8 @@
 
 // update records the result of a call. A failed call leaves the position as it was, unless the store
 // no longer has the changes since then, or the call returned a document that cannot be used.
-func (f *feedState) update(whole bool, at uint64, err error, now time.Time) {
-	if whole {
+func (f *feedState) update(full bool, at uint64, err error, now time.Time) {
+	if full {
 		f.fullReadAt = now
 	}
 	switch {
@@ -148,8 +148,8 @@
 
 // readConfig reads the whole configuration, or waits for a change after a position in the feed. It
 // returns the position to continue from.
-func (n *Instance) readConfig(ctx context.Context, whole bool, position uint64) (c *config.Config, from string, at uint64, err error) {
-	if whole {
+func (n *Instance) readConfig(ctx context.Context, full bool, position uint64) (c *config.Config, from string, at uint64, err error) {
+	if full {
 		c, at, err = n.configs.Get(ctx)
 		return c, "read", at, err
 	}
--- a/cluster/division.go
+++ b/cluster/division.go
@@ -22,10 +22,6 @@
 	"dewpass.org/rows"
 )
 
-// The division of the workers into cells is decided once, before the first cell has
-// an owner, and kept in the store. It never changes then: a worker obeys the
-// highest fence that it has seen, and the fences of two cells do not compare.
-
 // The division of the workers into cells is decided once, before the first cell has an owner, and
 // kept in the store. It never changes after that: a worker obeys the highest fencing token that it
 // has seen, and the tokens of two cells are not comparable.
@@ -142,8 +138,8 @@
 // learnDivision reads the division until it is known, and decides it if no instance has. It reports
 // whether the division is known; it is not if ctx ended before.
 func (n *Instance) learnDivision(ctx context.Context) bool {
-	var workers workerCount
-	turn := clock.Now().Add(startupListenTime)
+	var count workerCount
+	countFrom := clock.Now().Add(startupListenTime)
 	for ctx.Err() == nil {
 		switch row, err := n.readDivision(ctx); {
 		case err != nil:
@@ -153,8 +149,8 @@
 			n.division.workersPerCell.Store(int64(row.Workers / row.Cells))
 			level.Info(n.kit.Log).Log("event", "division_known", "cells", row.Cells, "workers", row.Workers)
 			return true
-		case clock.Since(turn) >= countDelayFactor*n.electionDelay(divisionRowName, clock.Now()):
-			if n.decideDivision(ctx, &workers) {
+		case clock.Since(countFrom) >= countDelayFactor*n.electionDelay(divisionRowName, clock.Now()):
+			if n.decideDivision(ctx, &count) {
 				continue
 			}
 		}
--- a/cluster/elect.go
+++ b/cluster/elect.go
@@ -51,12 +51,13 @@
 	begunBefore time.Time
 }
 
-// noteLeaseWrite records that the write of version ver of a cell lease had begun at the time since.
-func (n *Instance) noteLeaseWrite(name string, ver uint64, since time.Time) {
+// noteLeaseWrite records that the write of version ver of a cell lease had begun before or at
+// begunBefore.
+func (n *Instance) noteLeaseWrite(name string, ver uint64, begunBefore time.Time) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if w := n.lastWrites[name]; ver > w.ver || (ver == w.ver && since.Before(w.begunBefore)) {
-		n.lastWrites[name] = leaseWrite{ver: ver, begunBefore: since}
+	if w := n.lastWrites[name]; ver > w.ver || (ver == w.ver && begunBefore.Before(w.begunBefore)) {
+		n.lastWrites[name] = leaseWrite{ver: ver, begunBefore: begunBefore}
 	}
 }
 
@@ -127,14 +128,14 @@
 // those with a much larger processor share, and those that precede it in an order drawn by hash.
 func (n *Instance) electionDelay(name string, now time.Time) time.Duration {
 	// Greetings reach only some of the others; the store lists all.
-	own, first, stronger := hash32(name+"/"+n.settings.Instance), 0, n.members.listedAbove(n.strongerThreshold())
+	ownHash, rank, stronger := hash32(name+"/"+n.settings.Instance), 0, n.members.listedAbove(n.strongerThreshold())
 	for _, k := range n.members.list(now, (*member).free) {
 		stronger = stronger || k.processor > n.strongerThreshold()
-		if k.processor >= n.processor() && hash32(name+"/"+k.name) < own {
-			first++
+		if k.processor >= n.processor() && hash32(name+"/"+k.name) < ownHash {
+			rank++
 		}
 	}
-	pause := time.Duration(min(first, maxRank)) * rankDelay
+	pause := time.Duration(min(rank, maxRank)) * rankDelay
 	if stronger {
 		pause += strongerDelay
 	}
--- a/cluster/ends_test.go
+++ b/cluster/ends_test.go
@@ -79,7 +79,7 @@
 // was lost for good, and 15 s later the store did not answer for 4.2 s: the lost instance did not
 // answer, so that nothing started and no lease was renewed until the store was back.
 var _ = Describe("an instance that is lost before the store is unavailable", func() {
-	lost := func() (*Instance, time.Time) {
+	instanceAfterLoss := func() (*Instance, time.Time) {
 		n := testInstance(&fakePolicy{})
 		now := time.Now()
 		for _, name := range []string{"a", "b", "gone"} {
@@ -93,7 +93,7 @@
 	}
 
 	It("is named in the cell lease as absent, and need not answer for a while", func() {
-		n, now := lost()
+		n, now := instanceAfterLoss()
 		Expect(n.members.absent(now)).To(Equal([]string{"gone"}))
 		Expect(n.members.allAnswered(now, nil)).To(BeFalse())
 		last := claim.Write{Begun: now.Add(-claim.AbsentWait / 2), Absent: []string{"gone"}}
@@ -103,12 +103,12 @@
 	})
 
 	It("is not named if half of the instances are not heard, as the owner may be cut off", func() {
-		n, now := lost()
+		n, now := instanceAfterLoss()
 		Expect(n.members.absent(now.Add(absentAfter + 1))).To(BeEmpty())
 	})
 
 	It("is not named by an owner that has not greeted for long enough to know", func() {
-		n, _ := lost()
+		n, _ := instanceAfterLoss()
 		Expect(n.newClaim("c").Absent()).To(BeEmpty())
 	})
 
--- a/cluster/greet.go
+++ b/cluster/greet.go
@@ -129,11 +129,11 @@
 // greetAll greets everybody and waits for the answers, at most greetTimeout.
 func (n *Instance) greetAll(ctx context.Context) {
 	req := &wire.Request{Body: &wire.Request_Greeting{Greeting: n.greeting()}}
-	var all sync.WaitGroup
+	var wg sync.WaitGroup
 	for _, addr := range n.members.allAddrs(clock.Now()) {
-		all.Go(func() { n.greetOne(ctx, addr, req) })
+		wg.Go(func() { n.greetOne(ctx, addr, req) })
 	}
-	all.Wait()
+	wg.Wait()
 }
 
 // applyGreeting applies a received greeting.
--- a/cluster/instance.go
+++ b/cluster/instance.go
@@ -225,18 +225,18 @@
 // probeStore reads the lease of one cell after another, so that readiness follows the
 // availability of the store.
 func (n *Instance) probeStore(ctx context.Context) {
-	var last time.Time
-	slept := &suspensionTracker{total: clock.Suspended}
-	for at := 0; ctx.Err() == nil; {
+	var lastProbe time.Time
+	suspensions := &suspensionTracker{total: clock.Suspended}
+	for next := 0; ctx.Err() == nil; {
 		now := clock.Now()
-		n.reportSuspension(slept)
+		n.reportSuspension(suspensions)
 		name := ""
 		if names := n.division.cells(); len(names) > 0 {
-			name = names[at%len(names)]
+			name = names[next%len(names)]
 		}
-		if now.Sub(last) >= probeInterval && !n.probeRedundant(name, now) {
-			last = now
-			at++
+		if now.Sub(lastProbe) >= probeInterval && !n.probeRedundant(name, now) {
+			lastProbe = now
+			next++
 			go n.probeLease(ctx, name)
 			if !n.storeClient.DirectOK() && !n.storeClient.Carried(relayedFreshness) {
 				go n.probeByPeer(ctx, name)
@@ -356,20 +356,20 @@
 	ctx, cancel := context.WithTimeout(context.Background(), handoverTimeout)
 	n.handOver(ctx, n.ownCells())
 	cancel()
-	patience, cancel := context.WithDeadline(context.Background(), begun.Add(min(noticeTime+lingerTime, grace*lingerTenths/10)))
+	lingerCtx, cancel := context.WithDeadline(context.Background(), begun.Add(min(noticeTime+lingerTime, grace*lingerTenths/10)))
 	defer cancel()
-	limit, cancel := context.WithDeadline(context.Background(), begun.Add(grace*cutTenths/10))
+	cutCtx, cancel := context.WithDeadline(context.Background(), begun.Add(grace*cutTenths/10))
 	defer cancel()
 	// The notice runs from the start of the stop: a slow handover does not extend it.
-	sleep(patience, clock.Until(begun.Add(noticeTime)))
-	if err := n.clientServer.Stop(patience, limit); err != nil {
+	sleep(lingerCtx, clock.Until(begun.Add(noticeTime)))
+	if err := n.clientServer.Stop(lingerCtx, cutCtx); err != nil {
 		level.Warn(n.kit.Log).Log("event", "not_drained", "err", err)
 	}
-	over, cancel := context.WithCancel(context.Background())
+	expired, cancel := context.WithCancel(context.Background())
 	cancel()
 	for _, s := range others {
 		// Idle connections of probes are closed at once; an answer in progress is finished.
-		_ = s.Stop(over, limit)
+		_ = s.Stop(expired, cutCtx)
 	}
 	n.server.Close()
 	n.dialer.Close()
--- a/cluster/jobs.go
+++ b/cluster/jobs.go
@@ -171,14 +171,14 @@
 	return state, err
 }
 
-// combinedState returns the state of a job given the state told by one of its cells, by: it is Running
-// if any of its cells says so.
-func (n *Instance) combinedState(ctx context.Context, id string, told flow.State, by string, cells []string) flow.State {
+// combinedState returns the state of a job given the state reported by one of its cells, reporter: it
+// is Running if any of its cells says so.
+func (n *Instance) combinedState(ctx context.Context, id string, reported flow.State, reporter string, cells []string) flow.State {
 	for _, cell := range cells {
-		if told != flow.Pending {
+		if reported != flow.Pending {
 			break
 		}
-		if cell == by {
+		if cell == reporter {
 			continue
 		}
 		if d := n.ownDriver(cell); d != nil {
@@ -191,7 +191,7 @@
 			return s
 		}
 	}
-	return told
+	return reported
 }
 
 // likelyCell returns the cell, owned by another instance, that has a job if any has: the one that was
--- a/cluster/members.go
+++ b/cluster/members.go
@@ -96,10 +96,10 @@
 	heardAt time.Time
 }
 
-func newMembers(self, hall string, first []string, own string, now time.Time) *members {
-	m := &members{self: self, hall: hall, addr: own, known: make(map[string]*member), addrs: make(map[string]time.Time), lastPending: make(map[string]pendingReport)}
-	for _, a := range first {
-		if a != own {
+func newMembers(self, hall string, peers []string, selfAddr string, now time.Time) *members {
+	m := &members{self: self, hall: hall, addr: selfAddr, known: make(map[string]*member), addrs: make(map[string]time.Time), lastPending: make(map[string]pendingReport)}
+	for _, a := range peers {
+		if a != selfAddr {
 			m.addrs[a] = now
 		}
 	}
@@ -302,12 +302,12 @@
 func (m *members) allAnswered(now time.Time, excused []string) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	open := map[string]bool{m.hall: true}
+	reachableHalls := map[string]bool{m.hall: true}
 	for _, k := range m.known {
-		open[k.hall] = open[k.hall] || now.Sub(k.answeredAt) <= answerMaxAge
+		reachableHalls[k.hall] = reachableHalls[k.hall] || now.Sub(k.answeredAt) <= answerMaxAge
 	}
 	for _, k := range m.known {
-		gone := now.Sub(k.refusedAt) <= answerMaxAge && open[k.hall]
+		gone := now.Sub(k.refusedAt) <= answerMaxAge && reachableHalls[k.hall]
 		harmless := now.Sub(k.answeredAt) <= answerMaxAge || gone
 		if now.Sub(k.heardAt) < memberWindow && !harmless && !slices.Contains(excused, k.name) {
 			return false
