--- a/cluster/accept.go
+++ b/cluster/accept.go
@@ -64,7 +64,7 @@
 		n.kit.Scope.Counter("jobs_not_kept_total").Inc(1)
 		return err
 	}
-	if !k.written && n.isOtherAccounts(ctx, spec) {
+	if !k.written && n.belongsToOtherAccount(ctx, spec) {
 		level.Info(n.kit.Log).Log("event", "refused", "job", spec.ID, "account", spec.Account, "why", "the id belongs to another client account", "last", true)
 		return kind.New(kind.KeyReused, "the id belongs to a job of another client account")
 	}
@@ -78,9 +78,9 @@
 	return nil
 }
 
-// isOtherAccounts reports whether the job that the store has under the id of spec is known to belong
-// to another client account.
-func (n *Instance) isOtherAccounts(ctx context.Context, spec *flow.Spec) bool {
+// belongsToOtherAccount reports whether the job that the store has under the id of spec is known to
+// belong to another client account.
+func (n *Instance) belongsToOtherAccount(ctx context.Context, spec *flow.Spec) bool {
 	row, err := n.readJobRow(ctx, driver.SpecKey(spec.ID))
 	if err != nil || row.Ver == 0 {
 		return false
--- a/cluster/accept_test.go
+++ b/cluster/accept_test.go
@@ -54,7 +54,7 @@
 
 // storeWithJob is a store that already has every job.
 type storeWithJob struct {
-	readOnlyStore
+	staticStore
 	home rows.Key
 }
 
@@ -67,7 +67,7 @@
 		told := make(chan *flow.Spec, 1)
 		n := instanceWithOwner(ownerRecorder{told})
 		stored := &flow.Spec{ID: "j", Hall: "first", Steps: []flow.Step{{Count: 1}}}
-		n.storeClient.Direct = storeWithJob{readOnlyStore{driver.SpecKey("j"): flow.Encode(stored)}, driver.HomeKey("j")}
+		n.storeClient.Direct = storeWithJob{staticStore{driver.SpecKey("j"): flow.Encode(stored)}, driver.HomeKey("j")}
 		_, err := n.storeClient.Get(ctx, rows.Range{})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(n.Submit(ctx, &flow.Spec{ID: "j", Steps: []flow.Step{{Count: 1}}})).To(Succeed())
--- a/cluster/advise.go
+++ b/cluster/advise.go
@@ -90,14 +90,14 @@
 func (n *Instance) adviceCaller(a *cell.Ask) *member {
 	long := a.Long()
 	n.mu.Lock()
-	own := n.adviceBacklog
+	ownBacklog := n.adviceBacklog
 	n.mu.Unlock()
-	if !long && own == 0 {
+	if !long && ownBacklog == 0 {
 		return nil
 	}
 	now := clock.Now()
 	peers := n.members.list(now, func(k *member) bool { return k.responsive(now) })
-	best, bestCost := (*member)(nil), callerCost(own, true, false, long)
+	best, bestCost := (*member)(nil), callerCost(ownBacklog, true, false, long)
 	for i := range peers {
 		p := &peers[i]
 		c := callerCost(p.adviceBacklog, len(p.cells) > 0, n.hallDistance(*p) > 0, long)
@@ -122,8 +122,8 @@
 
 // callerCost ranks a caller by the expected time to answer its questions in progress, whether it owns
 // a cell, and whether it is in another hall.
-func callerCost(asking time.Duration, owner, far, long bool) time.Duration {
-	c := asking
+func callerCost(backlog time.Duration, owner, far, long bool) time.Duration {
+	c := backlog
 	if owner && long {
 		c += ownerCost
 	}
--- a/cluster/carry.go
+++ b/cluster/carry.go
@@ -28,18 +28,18 @@
 // Starts implements driver.Carriers.
 func (s relays) Starts(ctx context.Context, hall string, orders []driver.StartOrder, limit time.Duration) ([]driver.StartResult, error) {
 	job := orders[0].Task.Job
-	by, given := s.n.startRelay(hall, job, len(orders))
+	by, hasText := s.n.startRelay(hall, job, len(orders))
 	if by == nil {
 		return nil, kind.New(kind.Unavailable, "no other instance is live")
 	}
 	s.n.members.addRelayedOrders(by.name, len(orders))
 	defer s.n.members.addRelayedOrders(by.name, -len(orders))
 	m := startOrders(orders, limit)
-	if given {
+	if hasText {
 		m.Text = ""
 	}
 	reply, err := s.n.dialer.Do(ctx, by.addr, &wire.Request{Body: &wire.Request_Starts{Starts: m}})
-	if given && kind.Is(err, kind.Conflict) {
+	if hasText && kind.Is(err, kind.Conflict) {
 		// Nothing was sent: the relay has restarted, or has evicted the text from its cache.
 		m.Text = orders[0].Text
 		reply, err = s.n.dialer.Do(ctx, by.addr, &wire.Request{Body: &wire.Request_Starts{Starts: m}})
--- a/cluster/carry_test.go
+++ b/cluster/carry_test.go
@@ -21,9 +21,9 @@
 // recordingWorkers records the start orders that it receives.
 type recordingWorkers struct {
 	driver.Workers
-	mu     sync.Mutex
-	starts []driver.StartOrder
-	ends   []cell.Finished
+	mu       sync.Mutex
+	starts   []driver.StartOrder
+	finished []cell.Finished
 }
 
 func (w *recordingWorkers) Start(_ context.Context, o driver.StartOrder) (driver.StartAnswer, error) {
@@ -44,7 +44,7 @@
 		return driver.HoldAnswer{}, kind.New(kind.NotFound, "another life")
 	}
 	run := cell.Running{Task: flow.TaskID{Job: "j", Time: 1, Step: 2, Index: 3}, Run: 4, Saved: "s", Percent: 50, Tail: 9}
-	return driver.HoldAnswer{ClockMS: 7, Lists: cell.Lists{Running: []cell.Running{run}, Finished: w.ends, Cut: true}}, nil
+	return driver.HoldAnswer{ClockMS: 7, Lists: cell.Lists{Running: []cell.Running{run}, Finished: w.finished, Cut: true}}, nil
 }
 
 // sendToRelay has the relay n handle orders as they arrive from the network.
@@ -104,7 +104,7 @@
 		Expect(a.Lists.Cut).To(BeTrue())
 		Expect(a.ClockMS).To(Equal(int64(7)))
 		Expect(a.Lists.Running).To(Equal([]cell.Running{{Task: flow.TaskID{Job: "j", Time: 1, Step: 2, Index: 3}, Run: 4, Saved: "s", Percent: 50, Tail: 9}}))
-		w.ends = []cell.Finished{{Number: 3, Task: flow.TaskID{Job: "j"}, Run: 2, How: flow.EndDone, Saved: "x"}}
+		w.finished = []cell.Finished{{Number: 3, Task: flow.TaskID{Job: "j"}, Run: 2, How: flow.EndDone, Saved: "x"}}
 		a, err = hold("good", false)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(a.Lists.Running).To(HaveLen(1))
@@ -112,7 +112,7 @@
 		Expect(err).NotTo(HaveOccurred())
 		Expect(a.Brief).To(BeTrue())
 		Expect(a.Lists.Running).To(BeEmpty())
-		Expect(a.Lists.Finished).To(Equal(w.ends))
+		Expect(a.Lists.Finished).To(Equal(w.finished))
 		_, err = hold("gone", true)
 		Expect(kind.Is(err, kind.NotFound)).To(BeTrue(), "the worker's error is passed on")
 	})
@@ -126,20 +126,20 @@
 		by, _ := n.startRelay("h", "j", 8)
 		Expect(by).To(BeNil())
 		hear("far", "other")
-		by, given := n.startRelay("h", "j", 8)
+		by, hasText := n.startRelay("h", "j", 8)
 		Expect(by.name).To(Equal("far"))
-		Expect(given).To(BeFalse())
+		Expect(hasText).To(BeFalse())
 		hear("near", "h")
 		by, _ = n.startRelay("h", "j", 8)
 		Expect(by.name).To(Equal("near"))
 		n.textHolders.add("j", "far", now)
-		by, given = n.startRelay("h", "j", 8)
+		by, hasText = n.startRelay("h", "j", 8)
 		Expect(by.name).To(Equal("far"))
-		Expect(given).To(BeTrue())
+		Expect(hasText).To(BeTrue())
 		n.members.addRelayedOrders("far", maxRelayedOrders)
-		by, given = n.startRelay("h", "j", 8)
+		by, hasText = n.startRelay("h", "j", 8)
 		Expect(by.name).To(Equal("near"))
-		Expect(given).To(BeFalse())
+		Expect(hasText).To(BeFalse())
 		n.members.addRelayedOrders("far", -2*maxRelayedOrders)
 		Expect(n.members.list(now, func(k *member) bool { return k.relayedOrders < 0 })).To(BeEmpty())
 	})
--- a/cluster/division.go
+++ b/cluster/division.go
@@ -74,7 +74,8 @@
 	d.names.Store(&names)
 }
 
-// hashCell returns a cell chosen by a hash of text, "" while the cells are not known.
+// hashCell returns the cell that a hash of text assigns to it, "" while the cells are not known. It
+// assigns racks to cells, and jobs while no owner is heard.
 func (d *division) hashCell(text string) string {
 	names := d.cells()
 	if len(names) == 0 {
@@ -89,9 +90,9 @@
 const shareDivisor = 4
 
 // sharedWith returns the cells that a job of one cell is shared with: all others, if a long-running
-// step, of which a worker runs only so many tasks, may not find enough workers in one cell. (Tasks that
-// end can take turns there instead.) A step that may miss too few of its tasks to be divided stays in
-// one cell: a cell that may not move a single task could never drain a machine for its upkeep.
+// step with a limit on its tasks per worker may not find enough workers in one cell. (Tasks that end
+// can take turns there instead.) A job is not shared if a step may miss fewer tasks than there are
+// cells: a cell that may not move a single task could never drain a machine for its upkeep.
 func (d *division) sharedWith(spec *flow.Spec, cell string) []string {
 	names := d.cells()
 	if len(names) < 2 || !spec.MayShare() {
@@ -99,8 +100,8 @@
 	}
 	perCell := cmp.Or(int(d.workersPerCell.Load()), maxWorkersPerCell)
 	wide := func(s flow.Step) bool { return s.PerWorker > 0 && s.Count*shareDivisor > perCell*s.PerWorker }
-	whole := func(s flow.Step) bool { return s.MayMiss > 0 && s.MayMiss < len(names) }
-	if !slices.ContainsFunc(spec.Steps, wide) || slices.ContainsFunc(spec.Steps, whole) {
+	indivisible := func(s flow.Step) bool { return s.MayMiss > 0 && s.MayMiss < len(names) }
+	if !slices.ContainsFunc(spec.Steps, wide) || slices.ContainsFunc(spec.Steps, indivisible) {
 		return nil
 	}
 	return slices.DeleteFunc(slices.Clone(names), func(name string) bool { return name == cell })
@@ -192,12 +193,12 @@
 
 // decideDivision writes the division once it can be decided, and reports whether it should be read
 // again at once. If several instances decide at the same time, the first write wins.
-func (n *Instance) decideDivision(ctx context.Context, workers *workerCount) bool {
+func (n *Instance) decideDivision(ctx context.Context, stability *workerCount) bool {
 	all, err := n.Directory(n.storeClient).All(ctx)
 	count := countUsable(all)
 	row := divisionRow{Cells: n.settings.Cluster.Cells, Workers: count}
 	if row.Cells == 0 {
-		if err != nil || !workers.stable(count, clock.Now()) {
+		if err != nil || !stability.stable(count, clock.Now()) {
 			return false
 		}
 		row.Cells = cellCount(count)
--- a/cluster/division_test.go
+++ b/cluster/division_test.go
@@ -51,7 +51,7 @@
 var _ = Describe("an instance", func() {
 	It("is not ready before it knows the division, as it could accept no job", func(ctx context.Context) {
 		n := testInstance(&fakePolicy{})
-		n.storeClient.Direct = readOnlyStore{}
+		n.storeClient.Direct = staticStore{}
 		n.config.Install(&config.Config{Version: 1})
 		_, err := n.storeClient.Get(ctx, rows.Range{Table: "t"})
 		Expect(err).NotTo(HaveOccurred())
--- a/cluster/elect.go
+++ b/cluster/elect.go
@@ -34,7 +34,7 @@
 	// provided that the lease is free or the owner's process is gone.
 	ownerTimeout = 450 * time.Millisecond
 	electTimeout = 3 * time.Second
-	// An owner that the store does not answer goes on giving orders while all other instances
+	// An owner that the store does not answer continues to give orders while all other instances
 	// answer its greetings. ownerActiveTime is how long an owner must not have been heard until that
 	// can no longer be the case.
 	ownerActiveTime = answerMaxAge + claim.Margin
@@ -86,7 +86,7 @@
 	vacant := make(map[string]*vacancy)
 	for ctx.Err() == nil {
 		now := clock.Now()
-		if n.leaving.Load() || now.Before(n.electionPause()) {
+		if n.leaving.Load() || now.Before(n.electionPausedUntil()) {
 			clear(vacant)
 		} else {
 			n.elect(ctx, vacant, now)
@@ -193,10 +193,10 @@
 }
 
 // knownUnwritten returns for how long a lease has gone unwritten, given for how long it was watched.
-// The store's clock also covers the time before the first look, which otherwise callers would have
+// The store's clock also covers the time before the first read, which otherwise callers would have
 // to wait out. An instance that owners do not know yet has to watch for the whole time: the store
-// may be away for the owner alone, which then goes on without answers of instances that it does not
-// know.
+// may be unreachable for the owner alone, which then continues to give orders without answers of
+// instances that it does not know.
 func (n *Instance) knownUnwritten(lease claim.Seen, watched time.Duration) time.Duration {
 	if !n.listed.Load() {
 		return watched
@@ -205,7 +205,7 @@
 }
 
 // Reasons why a cell lease may be taken: its owner's address refuses connections, or it went
-// unwritten for longer than its owner may go on.
+// unwritten for longer than its owner may give orders.
 const (
 	reasonOwnerGone   = "owner's process is gone"
 	reasonOwnerSilent = "owner silent"
@@ -243,8 +243,8 @@
 		// The refusal may come from the network cut that separates this instance from the owner.
 		return ""
 	}
-	// An address behind a network cut does not answer. It is dialed no longer than the lease still runs, so
-	// that the check that finds the lease over is not delayed by the dial timeout.
+	// An address behind a network cut does not answer. It is dialed no longer than the lease still
+	// runs, so that the check that finds the lease over is not delayed by the dial timeout.
 	ctx, cancel := context.WithTimeout(ctx, lease.Silence()-unwritten+electInterval/2)
 	defer cancel()
 	if n.refusesConnections(ctx, lease.Addr) {
--- a/cluster/elect_test.go
+++ b/cluster/elect_test.go
@@ -78,7 +78,7 @@
 })
 
 var _ = Describe("a cell lease that has an owner", func() {
-	It("may be taken once it has gone unwritten for longer than its owner may go on", func(ctx context.Context) {
+	It("may be taken once it has gone unwritten for longer than its owner may give orders", func(ctx context.Context) {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
 		defer l.Close()
--- a/cluster/ends.go
+++ b/cluster/ends.go
@@ -43,13 +43,13 @@
 }
 
 // add records jobs reported by an instance.
-func (e *reportedSuccesses) add(ids []string, source string, now time.Time) {
+func (e *reportedSuccesses) add(ids []string, boot string, now time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for _, id := range ids {
 		if e.get(id) == nil {
 			e.rotate(now)
-			e.current[id] = &reportedSuccess{reportedBy: source}
+			e.current[id] = &reportedSuccess{reportedBy: boot}
 		}
 	}
 }
@@ -130,11 +130,11 @@
 }
 
 // applySuccesses records the jobs that a greeting reports as succeeded.
-func (n *Instance) applySuccesses(ids []string, source string) {
+func (n *Instance) applySuccesses(ids []string, boot string) {
 	if len(ids) == 0 {
 		return
 	}
-	n.successes.add(ids, source, clock.Now())
+	n.successes.add(ids, boot, clock.Now())
 	for _, c := range n.ownCells() {
 		c.driver.Heard(ids)
 	}
--- a/cluster/ends_test.go
+++ b/cluster/ends_test.go
@@ -74,10 +74,11 @@
 	})
 })
 
-// Guards against one lost instance stopping an owner. An owner that the store does not answer goes on
-// as long as all instances it has heard answer it, since any of them could take its cell. An instance
-// was lost for good, and 15 s later the store did not answer for 4.2 s: the lost instance did not
-// answer, so that nothing started and no lease was renewed until the store was back.
+// Guards against one lost instance stopping an owner. An owner that the store does not answer
+// continues to give orders as long as all instances it has heard answer it, since any of them could
+// take its cell. An instance was lost for good, and 15 s later the store did not answer for 4.2 s: the
+// lost instance did not answer, so that nothing started and no lease was renewed until the store was
+// back.
 var _ = Describe("an instance that is lost before the store is unavailable", func() {
 	instanceAfterLoss := func() (*Instance, time.Time) {
 		n := testInstance(&fakePolicy{})
@@ -132,8 +133,8 @@
 	if done {
 		rec.Stages[0].Done.Set(0)
 	}
-	s.readOnlyStore[driver.SpecKey("a1")] = flow.Encode(&flow.Spec{ID: "a1", Cell: "cell-0", Steps: []flow.Step{{Count: 1}}})
-	s.readOnlyStore[driver.RecordKey("cell-0", "a1")] = flow.Encode(rec)
+	s.staticStore[driver.SpecKey("a1")] = flow.Encode(&flow.Spec{ID: "a1", Cell: "cell-0", Steps: []flow.Step{{Count: 1}}})
+	s.staticStore[driver.RecordKey("cell-0", "a1")] = flow.Encode(rec)
 	n.tryTakeLease(ctx, "cell-0")
 	d := n.ownDriver("cell-0")
 	Expect(d).NotTo(BeNil())
@@ -186,7 +187,7 @@
 		go server.Serve(l)
 		DeferCleanup(server.Close)
 		n.members.applyGreeting(&wire.Greeting{Instance: "peer", Hall: "h", Boot: "b", Addr: l.Addr().String()}, time.Now())
-		// The cell lease expires soon; the owner goes on as long as its only peer answers.
+		// The cell lease expires soon; the owner stays active as long as its only peer answers.
 		greet := func() {
 			n.members.markAnswered("peer", time.Now())
 			n.greet(ctx)
--- a/cluster/greet_test.go
+++ b/cluster/greet_test.go
@@ -16,7 +16,7 @@
 
 // memberStore lists instances and counts writes.
 type memberStore struct {
-	readOnlyStore
+	staticStore
 	listed []rows.Row
 	writes atomic.Int32
 }
@@ -77,7 +77,7 @@
 
 // listingStore lists an instance once that has written its row.
 type listingStore struct {
-	readOnlyStore
+	staticStore
 	mu   sync.Mutex
 	put  []rows.Row
 	read atomic.Int32
--- a/cluster/instance.go
+++ b/cluster/instance.go
@@ -103,8 +103,8 @@
 	// lastWrites holds the last known write of each cell lease.
 	lastWrites map[string]leaseWrite
 	reloadable reloadable
-	// electionPausedUntil is until when this instance claims no cell.
-	electionPausedUntil time.Time
+	// pausedUntil is the time before which this instance claims no cell.
+	pausedUntil time.Time
 	// adviceBacklog is the total expected time to answer the policy questions that this instance
 	// is asking itself at the moment.
 	adviceBacklog time.Duration
@@ -200,12 +200,12 @@
 		reloadable: reloadableOf(s.Cluster),
 	}
 	n.server = &link.Server{Handler: n}
-	n.storeClient = &rows.Client{Direct: n.Store, Now: clock.Now, Carry: n.relayStoreCall, Changed: n.storeChanged}
+	n.storeClient = &rows.Client{Direct: n.Store, Now: clock.Now, Carry: n.relayStoreCall, Changed: n.logStoreState}
 	n.configs = services.Configs(n.storeClient.DirectOnly(n.noteConfigData))
 	return n
 }
 
-func (n *Instance) storeChanged(direct, reachable bool) {
+func (n *Instance) logStoreState(direct, reachable bool) {
 	level.Info(n.kit.Log).Log("event", "store", "direct", direct, "reachable", reachable)
 }
 
--- a/cluster/jobs_test.go
+++ b/cluster/jobs_test.go
@@ -19,10 +19,10 @@
 	"dewpass.org/wire"
 )
 
-// readOnlyStore is a store with fixed rows that ignores writes.
-type readOnlyStore map[rows.Key][]byte
+// staticStore is a store with fixed rows that ignores writes.
+type staticStore map[rows.Key][]byte
 
-func (t readOnlyStore) Get(_ context.Context, r rows.Range) (rows.Page, error) {
+func (t staticStore) Get(_ context.Context, r rows.Range) (rows.Page, error) {
 	value, ok := t[rows.Key{Table: r.Table, Part: r.Part, Name: r.From}]
 	if !ok {
 		return rows.Page{Ver: 1}, nil
@@ -30,9 +30,9 @@
 	return rows.Page{Ver: 1, Rows: []rows.Row{{Value: value, Ver: 1}}}, nil
 }
 
-func (t readOnlyStore) Tx(context.Context, rows.Tx) (rows.Result, error) { return rows.Result{}, nil }
+func (t staticStore) Tx(context.Context, rows.Tx) (rows.Result, error) { return rows.Result{}, nil }
 
-func (t readOnlyStore) Feed(context.Context, rows.Since) (rows.Page, error) { return rows.Page{}, nil }
+func (t staticStore) Feed(context.Context, rows.Since) (rows.Page, error) { return rows.Page{}, nil }
 
 // instanceWithOwner returns an instance that has heard the owner of the only cell, a peer whose
 // requests h answers.
@@ -62,7 +62,7 @@
 }
 
 // forbiddenStore is a store that must not be read.
-type forbiddenStore struct{ readOnlyStore }
+type forbiddenStore struct{ staticStore }
 
 func (forbiddenStore) Get(context.Context, rows.Range) (rows.Page, error) {
 	Fail("the store is asked")
@@ -76,7 +76,7 @@
 		state, err := n.State(ctx, "j")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(state).To(Equal(flow.Running))
-		n.storeClient.Direct = readOnlyStore{
+		n.storeClient.Direct = staticStore{
 			driver.HomeKey("old"):  []byte("cell-0"),
 			driver.EndedKey("old"): flow.Encode(flow.Ended{State: flow.Succeeded}),
 		}
@@ -91,7 +91,7 @@
 var _ = Describe("the result of a probe of the store", func() {
 	It("is known while another call is answered and the owner is heard", func(ctx context.Context) {
 		n := testInstance(&fakePolicy{})
-		n.storeClient.Direct = readOnlyStore{}
+		n.storeClient.Direct = staticStore{}
 		Expect(n.probeRedundant("c", time.Now())).To(BeFalse())
 		_, err := n.storeClient.Get(ctx, rows.Range{Table: "t"})
 		Expect(err).NotTo(HaveOccurred())
@@ -115,7 +115,7 @@
 			{running, ended, flow.Succeeded},
 			{nil, ended, flow.Succeeded},
 		} {
-			t := readOnlyStore{}
+			t := staticStore{}
 			if c.record != nil {
 				t[driver.RecordKey("c", "j")] = c.record
 			}
@@ -137,7 +137,7 @@
 var _ = Describe("the state of a job that was deleted after its retention time", func() {
 	It("is not found even by an instance that remembers its cell", func(ctx context.Context) {
 		n := instanceWithOwner(ownerPeer{})
-		n.storeClient.Direct = readOnlyStore{}
+		n.storeClient.Direct = staticStore{}
 		n.jobCells.set("j", []string{"cell-0"})
 		_, err := n.State(ctx, "j")
 		Expect(kind.Is(err, kind.NotFound)).To(BeTrue())
@@ -145,7 +145,7 @@
 
 	It("is pending as long as its home row exists", func(ctx context.Context) {
 		n := instanceWithOwner(ownerPeer{})
-		n.storeClient.Direct = readOnlyStore{driver.HomeKey("j"): []byte("cell-0")}
+		n.storeClient.Direct = staticStore{driver.HomeKey("j"): []byte("cell-0")}
 		n.jobCells.set("j", []string{"cell-0"})
 		state, err := n.State(ctx, "j")
 		Expect(err).NotTo(HaveOccurred())
@@ -183,7 +183,7 @@
 		o := &lateOwner{}
 		n := instanceWithOwner(o)
 		spec := &flow.Spec{ID: "j", Cell: "cell-0", Queue: "q", Steps: []flow.Step{{Count: 1}}}
-		n.storeClient.Direct = readOnlyStore{driver.HomeKey("j"): []byte("cell-0"), driver.SpecKey("j"): flow.Encode(spec)}
+		n.storeClient.Direct = staticStore{driver.HomeKey("j"): []byte("cell-0"), driver.SpecKey("j"): flow.Encode(spec)}
 		Expect(n.Cancel(ctx, "j")).To(Succeed())
 		o.mu.Lock()
 		defer o.mu.Unlock()
@@ -195,7 +195,7 @@
 
 	It("finds no job if that has ended and its owner does not know it", func(ctx context.Context) {
 		n := instanceWithOwner(&lateOwner{})
-		n.storeClient.Direct = readOnlyStore{driver.HomeKey("j"): []byte("cell-0"), driver.EndedKey("j"): flow.Encode(flow.Ended{State: flow.Succeeded})}
+		n.storeClient.Direct = staticStore{driver.HomeKey("j"): []byte("cell-0"), driver.EndedKey("j"): flow.Encode(flow.Ended{State: flow.Succeeded})}
 		Expect(kind.Is(n.Cancel(ctx, "j"), kind.NotFound)).To(BeTrue())
 	})
 })
--- a/cluster/own.go
+++ b/cluster/own.go
@@ -64,7 +64,7 @@
 
 // configure applies the newest configuration to a cell. Each cell has an equal part of the limits of
 // client accounts, so that no owner has to ask another one before a start, nor to know for how long
-// one that is cut off goes on.
+// one that is cut off continues to start tasks.
 func (n *Instance) configure(d *driver.Driver) {
 	if conf := n.config.Now(); conf != nil {
 		d.Configure(conf.CellQueues(), conf.CellAccounts(len(n.division.cells()))...)
--- a/cluster/own_test.go
+++ b/cluster/own_test.go
@@ -27,12 +27,12 @@
 
 // ownedStore is a store in which each cell has an owner. It counts the reads of the cell leases.
 type ownedStore struct {
-	readOnlyStore
+	staticStore
 	lease claim.Lease
 	// clock is the store's clock in milliseconds, 0 if the store does not report it.
 	clock      int64
 	leaseReads atomic.Int32
-	wrote      rows.Tx
+	lastTx     rows.Tx
 	// fullAfter is after how many transactions the store accepts no more, 0 for never.
 	fullAfter, txCount int32
 }
@@ -43,10 +43,10 @@
 		return rows.Page{Ver: 1, ClockMS: s.clock, Rows: []rows.Row{{Value: flow.Encode(s.lease), Ver: 1}}}, nil
 	}
 	if r.From != "" {
-		return s.readOnlyStore.Get(ctx, r)
+		return s.staticStore.Get(ctx, r)
 	}
 	page := rows.Page{Ver: 1}
-	for key, value := range s.readOnlyStore {
+	for key, value := range s.staticStore {
 		if key.Table == r.Table && key.Part == r.Part {
 			page.Rows = append(page.Rows, rows.Row{Key: key, Value: value, Ver: 1})
 		}
@@ -58,13 +58,13 @@
 	if s.fullAfter > 0 && atomic.AddInt32(&s.txCount, 1) > s.fullAfter {
 		return rows.Result{}, errBusy
 	}
-	s.wrote = t
+	s.lastTx = t
 	return rows.Result{Ver: 2}, nil
 }
 
 func instanceOnOwnedStore() (*Instance, *ownedStore) {
 	n := testInstance(&fakePolicy{})
-	s := &ownedStore{readOnlyStore: readOnlyStore{}, lease: claim.Lease{Owner: "other", Boot: "b", Addr: "127.0.0.1:1", ValidMS: 900}}
+	s := &ownedStore{staticStore: staticStore{}, lease: claim.Lease{Owner: "other", Boot: "b", Addr: "127.0.0.1:1", ValidMS: 900}}
 	n.storeClient.Direct = s
 	n.Directory = func(rows.Store) driver.Directory { return noWorkers{} }
 	n.division.set(1)
@@ -182,6 +182,6 @@
 		n, s := instanceOnOwnedStore()
 		n.settings.Cluster.Cells = 3
 		Expect(n.decideDivision(ctx, &workerCount{})).To(BeTrue())
-		Expect(s.wrote.Expect).To(Equal([]rows.Check{{Key: divisionKey}}))
+		Expect(s.lastTx.Expect).To(Equal([]rows.Check{{Key: divisionKey}}))
 	})
 })
--- a/cluster/peers.go
+++ b/cluster/peers.go
@@ -107,8 +107,8 @@
 		return cmp.Compare(n.hallDistance(a), n.hallDistance(b))
 	})
 	for _, p := range peers[:min(len(peers), maxStoreRelays)] {
-		one, cancel := context.WithTimeout(ctx, storeRelayTimeout)
-		reply, err := n.dialer.Do(one, p.addr, &wire.Request{Body: &wire.Request_Store{Store: &wire.StoreCall{Call: call}}})
+		callCtx, cancel := context.WithTimeout(ctx, storeRelayTimeout)
+		reply, err := n.dialer.Do(callCtx, p.addr, &wire.Request{Body: &wire.Request_Store{Store: &wire.StoreCall{Call: call}}})
 		cancel()
 		if err == nil {
 			return reply.GetStore().GetAnswer(), nil
--- a/cluster/rounds.go
+++ b/cluster/rounds.go
@@ -21,14 +21,14 @@
 	newAddrTime = 3 * time.Second
 )
 
-// successors returns the most addresses that follow own in a sorted list, continuing at its start.
-func successors(sorted []string, own string, most int) []string {
-	if len(sorted) <= most {
+// successors returns up to limit addresses that follow addr in a sorted list, continuing at its start.
+func successors(sorted []string, addr string, limit int) []string {
+	if len(sorted) <= limit {
 		return sorted
 	}
-	at, _ := slices.BinarySearch(sorted, own)
-	out := make([]string, 0, most)
-	for i := range most {
+	at, _ := slices.BinarySearch(sorted, addr)
+	out := make([]string, 0, limit)
+	for i := range limit {
 		out = append(out, sorted[(at+i)%len(sorted)])
 	}
 	return out
--- a/cluster/share_test.go
+++ b/cluster/share_test.go
@@ -23,8 +23,8 @@
 	states   map[string]flow.State
 	notified []string
 	canceled []string
-	// refuses is a cell in which it refuses to cancel.
-	refuses string
+	// refusesCancelIn is the cell in which it refuses to cancel a job.
+	refusesCancelIn string
 }
 
 func (p *cellsPeer) Handle(_ context.Context, req *wire.Request) *wire.Reply {
@@ -41,7 +41,7 @@
 		return &wire.Reply{Error: wire.ToError(kind.New(kind.NotFound, "no such job"))}
 	}
 	if ask.GetCancel() {
-		if ask.Cell == p.refuses {
+		if ask.Cell == p.refusesCancelIn {
 			return &wire.Reply{Error: wire.ToError(kind.New(kind.Unavailable, "not now"))}
 		}
 		p.canceled = append(p.canceled, ask.Cell)
@@ -61,7 +61,7 @@
 		return &flow.Spec{ID: "j", Queue: "q", Cell: "cell-0", Shares: []string{"cell-1"}, Steps: []flow.Step{{Count: 100, Lasting: true, PerWorker: 1}}}
 	}
 	// deployment returns an instance that has heard a peer that owns two cells.
-	deployment := func(p *cellsPeer, store readOnlyStore) *Instance {
+	deployment := func(p *cellsPeer, store staticStore) *Instance {
 		n := instanceWithOwner(p)
 		n.division.set(2)
 		for _, m := range n.members.list(time.Now(), func(*member) bool { return true }) {
@@ -91,7 +91,7 @@
 
 	It("is sent to the owner of each of its cells", func() {
 		p := &cellsPeer{states: make(map[string]flow.State)}
-		n := deployment(p, readOnlyStore{})
+		n := deployment(p, staticStore{})
 		spec := wide()
 		n.notifyOwners(storedJob{cells: spec.Cells(), ver: 1, written: true}, spec)
 		Expect(p.notifiedCells()).To(ConsistOf("cell-0", "cell-1"))
@@ -100,16 +100,16 @@
 	It("is cancelled in each of its cells, its home cell first, also in those that were not notified of it", func(ctx context.Context) {
 		p := &cellsPeer{states: map[string]flow.State{"cell-0": flow.Running}}
 		spec := wide()
-		n := deployment(p, readOnlyStore{driver.HomeKey("j"): driver.HomeValue(spec), driver.SpecKey("j"): flow.Encode(spec)})
+		n := deployment(p, staticStore{driver.HomeKey("j"): driver.HomeValue(spec), driver.SpecKey("j"): flow.Encode(spec)})
 		Expect(n.Cancel(ctx, "j")).To(Succeed())
 		Expect(p.canceled).To(Equal([]string{"cell-0", "cell-1"}))
 		Expect(p.notifiedCells()).To(Equal([]string{"cell-1"}))
 	})
 
 	It("is not reported as cancelled while it is not in one of its cells", func() {
-		p := &cellsPeer{states: map[string]flow.State{"cell-0": flow.Running, "cell-1": flow.Running}, refuses: "cell-1"}
+		p := &cellsPeer{states: map[string]flow.State{"cell-0": flow.Running, "cell-1": flow.Running}, refusesCancelIn: "cell-1"}
 		spec := wide()
-		n := deployment(p, readOnlyStore{driver.HomeKey("j"): driver.HomeValue(spec), driver.SpecKey("j"): flow.Encode(spec)})
+		n := deployment(p, staticStore{driver.HomeKey("j"): driver.HomeValue(spec), driver.SpecKey("j"): flow.Encode(spec)})
 		ctx, cancel := context.WithTimeout(context.Background(), 500*time.Millisecond)
 		defer cancel()
 		Expect(n.Cancel(ctx, "j")).NotTo(Succeed())
@@ -117,13 +117,13 @@
 
 	It("can be cancelled once more after its end, when some cells no longer know it", func(ctx context.Context) {
 		p := &cellsPeer{states: map[string]flow.State{"cell-0": flow.Canceled}}
-		n := deployment(p, readOnlyStore{driver.HomeKey("j"): driver.HomeValue(wide())})
+		n := deployment(p, staticStore{driver.HomeKey("j"): driver.HomeValue(wide())})
 		Expect(n.Cancel(ctx, "j")).To(Succeed())
 	})
 
 	It("runs if any of its cells runs a task of it", func(ctx context.Context) {
 		p := &cellsPeer{states: map[string]flow.State{"cell-0": flow.Pending, "cell-1": flow.Running}}
-		n := deployment(p, readOnlyStore{driver.HomeKey("j"): driver.HomeValue(wide())})
+		n := deployment(p, staticStore{driver.HomeKey("j"): driver.HomeValue(wide())})
 		n.jobCells.set("j", wide().Cells())
 		Expect(n.State(ctx, "j")).To(Equal(flow.Running))
 		p.states["cell-1"] = flow.Pending
--- a/cluster/turned_away_test.go
+++ b/cluster/turned_away_test.go
@@ -16,12 +16,6 @@
 	"dewpass.org/rows"
 )
 
-// These specs guard against refusing jobs though a peer still reaches the store. The store rejected the
-// calls of one instance for 9 s and served the others. The instance refused jobs for 2 to 3 s of them
-// ("the store is not reached"), though its peers relayed its calls: no client had called for 0.9 s, so
-// that nothing had been relayed, and a refused job causes no call to the store either. That lasted until
-// the configuration was read again.
-//
 // unavailableStore is a store that rejects the calls of this instance.
 type unavailableStore struct{}
 
@@ -48,12 +42,17 @@
 	return rows.Page{}, errBusy
 }
 
+// Guards against refusing jobs though a peer still reaches the store. The store rejected the
+// calls of one instance for 9 s and served the others. The instance refused jobs for 2 to 3 s of them
+// ("the store is not reached"), though its peers relayed its calls: no client had called for 0.9 s, so
+// that nothing had been relayed, and a refused job causes no call to the store either. That lasted until
+// the configuration was read again.
 var _ = Describe("an instance whose calls the store rejects, while no client calls", func() {
 	It("knows that its peers reach the store", func(ctx context.Context) {
 		n := testInstance(&fakePolicy{})
 		n.division.set(1)
 		n.storeClient.Direct = unavailableStore{}
-		peer := &rows.Client{Direct: readOnlyStore{}, Now: time.Now}
+		peer := &rows.Client{Direct: staticStore{}, Now: time.Now}
 		n.storeClient.Carry = peer.Serve
 		ctx, cancel := context.WithCancel(ctx)
 		defer cancel()
@@ -64,7 +63,7 @@
 
 	It("tells callers to retry after a time that grows with the outage", func(ctx context.Context) {
 		n := testInstance(&fakePolicy{})
-		n.storeClient.Direct = readOnlyStore{}
+		n.storeClient.Direct = staticStore{}
 		n.probeLease(ctx, "")
 		n.storeClient.Now = func() time.Time { return time.Now().Add(10 * time.Second) }
 		err := n.Submit(ctx, &flow.Spec{ID: "0123456789abcdef"})
@@ -76,7 +75,7 @@
 	It("holds callers for a moment, and serves them if the store is back by then", func(ctx context.Context) {
 		n := testInstance(&fakePolicy{})
 		n.division.set(1)
-		n.storeClient.Direct = readOnlyStore{}
+		n.storeClient.Direct = staticStore{}
 		begun := time.Now()
 		Expect(n.Submit(ctx, &flow.Spec{ID: "0123456789abcdef"})).To(MatchError(ContainSubstring("not reached")))
 		Expect(time.Since(begun)).To(BeNumerically(">=", retry.Patience))
@@ -121,7 +120,7 @@
 })
 
 // silentStore does not answer.
-type silentStore struct{ readOnlyStore }
+type silentStore struct{ staticStore }
 
 func (silentStore) Get(ctx context.Context, _ rows.Range) (rows.Page, error) {
 	<-ctx.Done()
@@ -145,7 +144,7 @@
 	It("is skipped while other calls are answered and the lease need not be watched", func(ctx context.Context) {
 		n := testInstance(&fakePolicy{})
 		n.division.set(1)
-		n.storeClient.Direct = readOnlyStore{}
+		n.storeClient.Direct = staticStore{}
 		now := time.Now()
 		n.storeClient.Now = func() time.Time { return now }
 		n.probeLease(ctx, "")
--- a/cluster/yield.go
+++ b/cluster/yield.go
@@ -55,14 +55,14 @@
 
 // surplus returns which of its own cells this instance should yield, and to whom: all to a much
 // stronger instance, one of several to an idle one of about the same strength. The name is "" for none.
-func (n *Instance) surplus(own map[string]*ownCell, now time.Time) (map[string]*ownCell, string) {
+func (n *Instance) surplus(cells map[string]*ownCell, now time.Time) (map[string]*ownCell, string) {
 	if to := n.strongerIdle(now); to != "" {
-		return own, to
+		return cells, to
 	}
-	if len(own) < 2 {
+	if len(cells) < 2 {
 		return nil, ""
 	}
-	return lastByName(own), n.idlePeer(now)
+	return lastByName(cells), n.idlePeer(now)
 }
 
 // idlePeer returns the name of an instance that owns no cell and has about this one's processor share
@@ -78,18 +78,18 @@
 }
 
 // lastByName returns the cell with the last name.
-func lastByName(own map[string]*ownCell) map[string]*ownCell {
-	name := slices.Max(slices.Collect(maps.Keys(own)))
-	return map[string]*ownCell{name: own[name]}
+func lastByName(cells map[string]*ownCell) map[string]*ownCell {
+	name := slices.Max(slices.Collect(maps.Keys(cells)))
+	return map[string]*ownCell{name: cells[name]}
 }
 
 // yield hands cells over and claims none for a while, so that the other instance can.
-func (n *Instance) yield(ctx context.Context, own map[string]*ownCell, to string) {
-	level.Info(n.kit.Log).Log("event", "cells_yielded", "to", to, "cells", len(own), "processor", n.processor())
+func (n *Instance) yield(ctx context.Context, cells map[string]*ownCell, to string) {
+	level.Info(n.kit.Log).Log("event", "cells_yielded", "to", to, "cells", len(cells), "processor", n.processor())
 	n.pauseElection(strongerHeardTime)
 	ctx, cancel := context.WithTimeout(ctx, handoverTimeout)
 	defer cancel()
-	n.handOver(ctx, own)
+	n.handOver(ctx, cells)
 }
 
 // giveUpCell releases a cell whose jobs this instance could not load in time, and claims none for a
@@ -110,14 +110,14 @@
 func (n *Instance) pauseElection(d time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.electionPausedUntil = clock.Now().Add(d)
+	n.pausedUntil = clock.Now().Add(d)
 }
 
-// electionPause returns until when this instance claims no cell.
-func (n *Instance) electionPause() time.Time {
+// electionPausedUntil returns the time before which this instance claims no cell.
+func (n *Instance) electionPausedUntil() time.Time {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.electionPausedUntil
+	return n.pausedUntil
 }
 
 // handOver releases the leases of cells in a planned way, and greets everybody to announce it.
