--- a/cell/account.go
+++ b/cell/account.go
@@ -28,52 +28,52 @@
 	Account
 	// used is the demand of all runs that are held.
 	used sched.Vec
-	// maybe is, during Place, the demand of tasks that a former owner may have started on workers
+	// possiblyUsed is, during Place, the demand of tasks that a former owner may have started on workers
 	// of which that is not known yet.
-	maybe sched.Vec
-	share bucket
-	// urgent is what of used is by runs of its most urgent queue, of priority first.
-	urgent sched.Vec
-	first  int
-	// peak is the most of that in the present span of urgentSpan and in the one before.
-	peak, peakBefore sched.Vec
-	spanEnds         time.Time
+	possiblyUsed sched.Vec
+	share        bucket
+	// urgentUsed is what of used is by runs of its most urgentUsed queue, of priority first.
+	urgentUsed     sched.Vec
+	urgentPriority int
+	// urgentPeak is the most of that in the present span of urgentSpan and in the one before.
+	urgentPeak, previousUrgentPeak sched.Vec
+	windowEnd                      time.Time
 }
 
 const (
-	// urgentSpan is for how long the room that urgent jobs of an account have used is kept for
+	// urgentWindow is for how long the room that urgent jobs of an account have used is kept for
 	// the next of them under its limit: as long as the pauses between the calls of a customer.
-	urgentSpan = 3 * time.Second
-	// urgentShare bounds that room, as a divisor of the limit.
-	urgentShare = 4
+	urgentWindow = 3 * time.Second
+	// urgentDivisor bounds that room, as a divisor of the limit.
+	urgentDivisor = 4
 )
 
-// kept returns what of the limit is kept for urgent jobs from others of the same account: without
+// reservedForUrgent returns what of the limit is reservedForUrgent for urgent jobs from others of the same account: without
 // it batch that fills the limit makes the calls of its own account wait for its ends.
-func (a *account) kept(priority int) sched.Vec {
-	if priority <= a.first {
+func (a *account) reservedForUrgent(priority int) sched.Vec {
+	if priority <= a.urgentPriority {
 		return sched.Vec{}
 	}
-	kept := a.peak.Max(a.peakBefore)
+	kept := a.urgentPeak.Max(a.previousUrgentPeak)
 	for d := range kept {
-		kept[d] = max(min(kept[d], a.Limit[d]/urgentShare)-a.urgent[d], 0)
+		kept[d] = max(min(kept[d], a.Limit[d]/urgentDivisor)-a.urgentUsed[d], 0)
 	}
 	return kept
 }
 
-// follow takes in what urgent jobs use.
-func (a *account) follow(now time.Time) {
-	if now.After(a.spanEnds) {
-		a.peakBefore, a.peak = a.peak, sched.Vec{}
-		a.spanEnds = now.Add(urgentSpan)
+// trackUrgentPeak takes in what urgent jobs use.
+func (a *account) trackUrgentPeak(now time.Time) {
+	if now.After(a.windowEnd) {
+		a.previousUrgentPeak, a.urgentPeak = a.urgentPeak, sched.Vec{}
+		a.windowEnd = now.Add(urgentWindow)
 	}
-	a.peak = a.peak.Max(a.urgent)
+	a.urgentPeak = a.urgentPeak.Max(a.urgentUsed)
 }
 
 // bucket counts jobs against a rate. Its zero value is full.
 type bucket struct {
-	// taken is how many jobs more were taken than the rate has given back.
-	taken float64
+	// level is how many jobs more were level than the rate has given back.
+	level float64
 	at    time.Time
 }
 
@@ -83,13 +83,13 @@
 // take takes a job that arrived at a time, and reports whether it is within the rate.
 func (b *bucket) take(rate float64, at time.Time) bool {
 	if passed := at.Sub(b.at); passed > 0 {
-		b.taken = max(b.taken-rate*passed.Seconds(), 0)
+		b.level = max(b.level-rate*passed.Seconds(), 0)
 		b.at = at
 	}
-	if b.taken+1 > max(rate*shareBurst.Seconds(), 1) {
+	if b.level+1 > max(rate*shareBurst.Seconds(), 1) {
 		return false
 	}
-	b.taken++
+	b.level++
 	return true
 }
 
@@ -100,7 +100,7 @@
 	}
 	a := c.accounts[name]
 	if a == nil {
-		a = &account{Account: c.configured[name], first: c.mostUrgent()}
+		a = &account{Account: c.configured[name], urgentPriority: c.mostUrgent()}
 		c.accounts[name] = a
 	}
 	return a
@@ -108,7 +108,7 @@
 
 // mostUrgent returns the priority of the most urgent queue.
 func (c *Cell) mostUrgent() int {
-	first := lastPriority
+	first := lowestPriority
 	for _, q := range c.queues {
 		first = min(first, q.Priority)
 	}
@@ -138,8 +138,8 @@
 		return
 	}
 	a.used = a.used.Add(demand)
-	if j.priority == a.first {
-		a.urgent = a.urgent.Add(demand)
+	if j.priority == a.urgentPriority {
+		a.urgentUsed = a.urgentUsed.Add(demand)
 	}
 }
 
@@ -157,7 +157,7 @@
 
 // allows reports whether a may have something more running, of a queue of a priority.
 func (a *account) allows(more sched.Vec, priority int) bool {
-	sum := a.used.Add(a.maybe).Add(more).Add(a.kept(priority))
+	sum := a.used.Add(a.possiblyUsed).Add(more).Add(a.reservedForUrgent(priority))
 	for d, n := range more {
 		if n == 0 {
 			sum[d] = 0
@@ -167,32 +167,32 @@
 }
 
 // idle reports whether nothing of a runs.
-func (a *account) idle() bool { return a.used.IsZero() && a.maybe.IsZero() }
+func (a *account) idle() bool { return a.used.IsZero() && a.possiblyUsed.IsZero() }
 
-// countMaybe counts for each account what a former owner may have started of its jobs on workers
+// countPossiblyUsed counts for each account what a former owner may have started of its jobs on workers
 // that are not settled: tasks that wait here, of steps that are held up, as far as those workers
 // have room. Tasks that fill take processor time beyond the room and are few beside it.
-func (c *Cell) countMaybe(u *unsettled, now time.Time) {
+func (c *Cell) countPossiblyUsed(u *unsettled, now time.Time) {
 	for _, a := range c.accounts {
-		a.maybe = sched.Vec{}
-		a.follow(now)
+		a.possiblyUsed = sched.Vec{}
+		a.trackUrgentPeak(now)
 	}
 	if len(c.accounts) == 0 || !u.any && len(u.halls) == 0 {
 		return
 	}
-	for _, s := range c.open {
+	for _, s := range c.openStages {
 		if a := s.job.account; a != nil && s.waiting > 0 && c.heldUp(s, u) {
-			a.maybe = a.maybe.Add(s.def.Demand.Scale(int64(s.waiting)))
+			a.possiblyUsed = a.possiblyUsed.Add(s.def.Demand.Scale(int64(s.waiting)))
 		}
 	}
 	for _, a := range c.accounts {
-		a.maybe = a.maybe.Min(u.room)
+		a.possiblyUsed = a.possiblyUsed.Min(u.room)
 	}
 }
 
-// limited reports whether the limit of its account lets no task of s start, or not all of a gang.
+// accountAtLimit reports whether the limit of its account lets no task of s start, or not all of a gang.
 // A task that alone is larger than the limit starts when nothing else of the account runs.
-func (s *stage) limited() bool {
+func (s *stage) accountAtLimit() bool {
 	a := s.job.account
 	switch {
 	case a == nil:
@@ -209,12 +209,12 @@
 	Used, Maybe sched.Vec
 }
 
-// use returns what the account of a job has running.
-func (a *account) use() AccountUse {
+// usage returns what the account of a job has running.
+func (a *account) usage() AccountUse {
 	if a == nil {
 		return AccountUse{}
 	}
-	return AccountUse{Account: a.Account, Used: a.used, Maybe: a.maybe}
+	return AccountUse{Account: a.Account, Used: a.used, Maybe: a.possiblyUsed}
 }
 
 // MayUse reports whether an account may ask for and cancel a job: its own, one of a queue that is
@@ -222,15 +222,15 @@
 func (c *Cell) MayUse(id, account string) bool {
 	owner := ""
 	if j := c.jobs[id]; j != nil {
-		owner = c.ownerOf(j)
-	} else if o, ok := c.over[id]; ok {
+		owner = c.exclusiveAccount(j)
+	} else if o, ok := c.retired[id]; ok {
 		owner = o.account
 	}
 	return owner == "" || owner == account
 }
 
-// ownerOf returns the account that alone may use a job, "" if all may.
-func (c *Cell) ownerOf(j *job) string {
+// exclusiveAccount returns the account that alone may use a job, "" if all may.
+func (c *Cell) exclusiveAccount(j *job) string {
 	if q := c.queues[j.spec.Queue]; q != nil && q.Open {
 		return ""
 	}
--- a/cell/account_test.go
+++ b/cell/account_test.go
@@ -173,7 +173,7 @@
 	}
 	given := 0
 	for range 3 {
-		r.now = r.now.Add(urgentSpan + time.Millisecond)
+		r.now = r.now.Add(urgentWindow + time.Millisecond)
 		given += len(r.startAll())
 	}
 	g.Expect(given).To(Equal(2), "it is given back when no more come")
@@ -209,9 +209,9 @@
 			u := r.unsettled()
 			b.ResetTimer()
 			for range b.N {
-				r.countMaybe(&u, r.now)
-				for _, s := range r.open {
-					s.limited()
+				r.countPossiblyUsed(&u, r.now)
+				for _, s := range r.openStages {
+					s.accountAtLimit()
 				}
 			}
 		})
--- a/cell/advice.go
+++ b/cell/advice.go
@@ -13,44 +13,44 @@
 )
 
 const (
-	// askLeast is how many workers a question names at least, if it may name so many: fewer
+	// minAskWorkers is how many workers a question names at least, if it may name so many: fewer
 	// would shorten the answer by little. askMost bounds them.
-	askLeast = 30
-	askMost  = 100
-	// askSpare is how many times the tasks that wait a question looks for room: some of it
+	minAskWorkers = 30
+	maxAskWorkers = 100
+	// askRoomFactor is how many times the tasks that wait a question looks for room: some of it
 	// is taken before the answer is there.
-	askSpare = 2
+	askRoomFactor = 2
 	// ticketMargin is how long before its end a ticket is not used any more.
 	ticketMargin = 80 * time.Millisecond
-	// longAsk is from when on a question counts as long.
-	longAsk = 150 * time.Millisecond
-	// oldestShare is the part of the long questions under way, as a divisor, that is kept for the
+	// longAskThreshold is from when on a question counts as long.
+	longAskThreshold = 150 * time.Millisecond
+	// oldestAskDivisor is the part of the long questions under way, as a divisor, that is kept for the
 	// steps that have waited longest for one. In the order of the steps alone those that come
 	// last were never asked about while others, for which there was no room, asked again and
 	// again.
-	oldestShare = 4
-	// shortShare is the part of the questions under way, as a divisor, that is kept
+	oldestAskDivisor = 4
+	// shortAskDivisor is the part of the questions under way, as a divisor, that is kept
 	// for short ones, however many callers there still are: a long one would hold up many
 	// calls that somebody waits for, as after a loss of power to all, when each step has to
 	// ask anew.
-	shortShare = 3
-	// askAgain is the pause after a question that had no answer.
-	askAgain = 100 * time.Millisecond
-	// lookAgain is the pause after a look that found nobody to ask about.
-	lookAgain = 20 * time.Millisecond
+	shortAskDivisor = 3
+	// askRetryDelay is the pause after a question that had no answer.
+	askRetryDelay = 100 * time.Millisecond
+	// candidateRetryDelay is the pause after a look that found nobody to ask about.
+	candidateRetryDelay = 20 * time.Millisecond
 )
 
 // stageAdvice is what a queue's policy said of a stage. Which workers may run
 // it does not change; only tickets end.
 type stageAdvice struct {
-	// good are the workers that may run the stage, by their ids.
-	good []*ticket
+	// tickets are the workers that may run the stage, by their ids.
+	tickets []*ticket
 	// asked holds the workers that were asked about. Another life is asked about anew, and no
 	// ticket holds for it.
 	asked  map[*worker]bool
 	asking bool
-	// after is when the next question may be asked, and last when the last one was.
-	after, last time.Time
+	// notBefore is when the next question may be asked, and lastAsked when the lastAsked one was.
+	notBefore, lastAsked time.Time
 }
 
 // ticket lets worker run a stage until a time.
@@ -60,35 +60,35 @@
 	until  time.Time
 }
 
-// find returns where the ticket of a worker is among the good ones, or belongs.
-func (a *stageAdvice) find(w *worker) (int, bool) {
-	at, there := a.at(w)
-	return at, there && a.good[at].worker == w
+// findTicket returns where the ticket of a worker is among the good ones, or belongs.
+func (a *stageAdvice) findTicket(w *worker) (int, bool) {
+	at, there := a.searchTicket(w)
+	return at, there && a.tickets[at].worker == w
 }
 
-// at returns where the ticket of any life of a worker is among the good ones, or belongs.
-func (a *stageAdvice) at(w *worker) (int, bool) {
-	return slices.BinarySearchFunc(a.good, w.ID, func(t *ticket, id string) int { return cmp.Compare(t.worker.ID, id) })
+// searchTicket returns where the ticket of any life of a worker is among the good ones, or belongs.
+func (a *stageAdvice) searchTicket(w *worker) (int, bool) {
+	return slices.BinarySearchFunc(a.tickets, w.ID, func(t *ticket, id string) int { return cmp.Compare(t.worker.ID, id) })
 }
 
-// set keeps a ticket, in the place of one of an earlier life.
-func (a *stageAdvice) set(t *ticket) {
-	at, known := a.at(t.worker)
+// setTicket keeps a ticket, in the place of one of an earlier life.
+func (a *stageAdvice) setTicket(t *ticket) {
+	at, known := a.searchTicket(t.worker)
 	if known {
-		a.good[at] = t
+		a.tickets[at] = t
 		return
 	}
-	a.good = slices.Insert(a.good, at, t)
+	a.tickets = slices.Insert(a.tickets, at, t)
 }
 
-// holds reports whether a ticket holds until a time.
-func (a *stageAdvice) holds(until time.Time) bool {
-	return slices.ContainsFunc(a.good, func(t *ticket) bool { return until.Before(t.until) })
+// hasTicketUntil reports whether a ticket hasTicketUntil until a time.
+func (a *stageAdvice) hasTicketUntil(until time.Time) bool {
+	return slices.ContainsFunc(a.tickets, func(t *ticket) bool { return until.Before(t.until) })
 }
 
-func (a *stageAdvice) forget(w *worker) {
-	if at, known := a.find(w); known {
-		a.good[at].until = time.Time{}
+func (a *stageAdvice) expireTicket(w *worker) {
+	if at, known := a.findTicket(w); known {
+		a.tickets[at].until = time.Time{}
 	}
 }
 
@@ -101,8 +101,8 @@
 	Priority int
 	// oldest says that it was asked for how long its step had waited.
 	oldest bool
-	// lives are the workers that are asked about, in the order of Workers.
-	lives []*worker
+	// candidates are the workers that are asked about, in the order of Workers.
+	candidates []*worker
 }
 
 // Takes returns how long the policy takes for the answer.
@@ -111,10 +111,10 @@
 }
 
 // Long reports whether the answer takes long.
-func (a *Ask) Long() bool { return a.Takes() > longAsk }
+func (a *Ask) Long() bool { return a.Takes() > longAskThreshold }
 
 // alwaysLong reports whether the answer to any question takes long.
-func (a *Advice) alwaysLong() bool { return a.Decide+a.Each > longAsk }
+func (a *Advice) alwaysLong() bool { return a.Decide+a.Each > longAskThreshold }
 
 // maySend reports whether a question may be asked where about asks may be under way at
 // once, for the sake of its step's place in the order or of how long it has waited.
@@ -126,8 +126,8 @@
 }
 
 func (c *Cell) maySendLong(asks int, oldest bool) bool {
-	most := max(asks-max(asks/shortShare, 1), 1)
-	forOldest := most / oldestShare
+	most := max(asks-max(asks/shortAskDivisor, 1), 1)
+	forOldest := most / oldestAskDivisor
 	if oldest {
 		return c.asks < asks && c.longAsks < most && c.oldestAsks < max(forOldest, 1)
 	}
@@ -135,7 +135,7 @@
 }
 
 func (c *Cell) maySendShort(asks int) bool {
-	return asks > 0 && c.asks-c.longAsks < max(asks-c.longAsks, asks/shortShare, 1)
+	return asks > 0 && c.asks-c.longAsks < max(asks-c.longAsks, asks/shortAskDivisor, 1)
 }
 
 // askAhead asks the policy about a step that is about to open, or whose tasks have to
@@ -143,10 +143,10 @@
 // seen when the step is placed. Asking on until all workers are asked about took 6 questions
 // for such a step, and after a change of owner each waited for the others'.
 func (c *Cell) askAhead(s *stage, q *Queue, a *Actions, asks int, now time.Time) {
-	if !s.moving && s.advice.holds(now.Add(foresight)) {
+	if !s.needsMove && s.advice.hasTicketUntil(now.Add(adviceLead)) {
 		return
 	}
-	if s.before == 0 || c.opensWithin(s, c.askLead(q), now) {
+	if s.pendingDeps == 0 || c.opensWithin(s, c.askLeadTime(q), now) {
 		c.askFor(s, q, a, asks, now)
 	}
 }
@@ -154,7 +154,7 @@
 // askFor asks the policy about a step whose tasks find no worker, for another reason than
 // that the store has to be told of a hall first.
 func (c *Cell) askFor(s *stage, q *Queue, a *Actions, asks int, now time.Time) {
-	if !c.maySendShort(asks) || !s.mayAsk(q, now) || len(s.opening) > 0 {
+	if !c.maySendShort(asks) || !s.mayAsk(q, now) || len(s.hallsToStore) > 0 {
 		return
 	}
 	if q.Advice.alwaysLong() && !c.maySendLong(asks, false) {
@@ -166,7 +166,7 @@
 	switch {
 	case len(ask.Workers) == 0:
 	case c.maySend(&ask, asks, false):
-		c.send(s, &ask, a, now)
+		c.sendAsk(s, &ask, a, now)
 	default:
 		c.unasked = append(c.unasked, unasked{s, q})
 	}
@@ -181,7 +181,7 @@
 // askOldest asks about the steps that have waited longest for a question, of those that were
 // left out for their place in the order.
 func (c *Cell) askOldest(a *Actions, asks int, now time.Time) {
-	slices.SortStableFunc(c.unasked, func(x, y unasked) int { return x.stage.askedSince().Compare(y.stage.askedSince()) })
+	slices.SortStableFunc(c.unasked, func(x, y unasked) int { return x.stage.waitingToAskSince().Compare(y.stage.waitingToAskSince()) })
 	for _, u := range c.unasked {
 		if u.stage.advice.asking || u.queue.Advice.alwaysLong() && !c.maySendLong(asks, true) {
 			continue
@@ -189,29 +189,29 @@
 		ask := c.ask(u.stage, u.queue, now)
 		if len(ask.Workers) > 0 && c.maySend(&ask, asks, true) {
 			ask.oldest = true
-			c.send(u.stage, &ask, a, now)
+			c.sendAsk(u.stage, &ask, a, now)
 		}
 	}
 	c.unasked = c.unasked[:0]
 }
 
-// askedSince returns since when s has waited for a question about it.
-func (s *stage) askedSince() time.Time {
-	if s.advice.last.After(s.waitSince) {
-		return s.advice.last
+// waitingToAskSince returns since when s has waited for a question about it.
+func (s *stage) waitingToAskSince() time.Time {
+	if s.advice.lastAsked.After(s.waitingSince) {
+		return s.advice.lastAsked
 	}
-	return s.waitSince
+	return s.waitingSince
 }
 
-// send asks a question about s.
-func (c *Cell) send(s *stage, ask *Ask, a *Actions, now time.Time) {
-	s.advice.asking, s.advice.last = true, now
-	c.sent(ask, 1)
+// sendAsk asks a question about s.
+func (c *Cell) sendAsk(s *stage, ask *Ask, a *Actions, now time.Time) {
+	s.advice.asking, s.advice.lastAsked = true, now
+	c.countAsk(ask, 1)
 	a.Asks = append(a.Asks, *ask)
 }
 
-// sent counts a question that is under way, by is 1, or is not any more, by is -1.
-func (c *Cell) sent(a *Ask, by int) {
+// countAsk counts a question that is under way, by is 1, or is not any more, by is -1.
+func (c *Cell) countAsk(a *Ask, by int) {
 	c.asks += by
 	if a.Long() {
 		c.longAsks += by
@@ -228,35 +228,35 @@
 
 // Advised takes in the answer to a question sent at sent.
 func (c *Cell) Advised(a Ask, tickets []Ticket, valid time.Duration, sent time.Time) {
-	c.sent(&a, -1)
+	c.countAsk(&a, -1)
 	s := c.stage(a.Step)
 	if s == nil {
 		return
 	}
 	s.advice.asking = false
-	c.learn(s, &a, tickets)
+	c.updatePolicyStats(s, &a, tickets)
 	if s.advice.asked == nil {
 		s.advice.asked = make(map[*worker]bool)
 	}
-	for _, w := range a.lives {
+	for _, w := range a.candidates {
 		s.advice.asked[w] = true
 	}
 	for _, t := range tickets {
-		if w := c.workers[t.Worker]; w != nil && slices.Contains(a.lives, w) {
-			s.advice.set(&ticket{worker: w, text: t.Text, until: sent.Add(valid - ticketMargin)})
+		if w := c.workers[t.Worker]; w != nil && slices.Contains(a.candidates, w) {
+			s.advice.setTicket(&ticket{worker: w, text: t.Text, until: sent.Add(valid - ticketMargin)})
 		}
 	}
 }
 
-// learn takes in what an answer says of the policy of a queue.
-func (c *Cell) learn(s *stage, a *Ask, tickets []Ticket) {
-	p := c.policies[s.job.spec.Queue]
+// updatePolicyStats takes in what an answer says of the policy of a queue.
+func (c *Cell) updatePolicyStats(s *stage, a *Ask, tickets []Ticket) {
+	p := c.policyStats[s.job.spec.Queue]
 	if p == nil {
-		p = new(policy)
-		c.policies[s.job.spec.Queue] = p
+		p = new(policyStats)
+		c.policyStats[s.job.spec.Queue] = p
 	}
 	asked, good := 0, 0
-	for _, w := range a.lives {
+	for _, w := range a.candidates {
 		if s.advice.asked[w] {
 			continue
 		}
@@ -265,15 +265,15 @@
 			good++
 		}
 	}
-	p.answered(asked, good)
+	p.add(asked, good)
 }
 
 // Unadvised says that a question had no answer.
 func (c *Cell) Unadvised(a Ask, now time.Time) {
-	c.sent(&a, -1)
+	c.countAsk(&a, -1)
 	if s := c.stage(a.Step); s != nil {
 		s.advice.asking = false
-		s.advice.after = now.Add(askAgain)
+		s.advice.notBefore = now.Add(askRetryDelay)
 	}
 }
 
@@ -283,18 +283,18 @@
 	ticket string
 }
 
-// allowed yields the workers that may run s now, by their ids.
-func (c *Cell) allowed(s *stage, q *Queue, now time.Time) iter.Seq[permit] {
+// permits yields the workers that may run s now, by their ids.
+func (c *Cell) permits(s *stage, q *Queue, now time.Time) iter.Seq[permit] {
 	return func(yield func(permit) bool) {
 		if q.Advice == nil {
-			for _, w := range c.order {
+			for _, w := range c.sortedWorkers {
 				if !yield(permit{worker: w}) {
 					return
 				}
 			}
 			return
 		}
-		for _, t := range s.advice.good {
+		for _, t := range s.advice.tickets {
 			if now.Before(t.until) && !yield(permit{worker: t.worker, ticket: t.text}) {
 				return
 			}
@@ -304,18 +304,18 @@
 
 // mayAsk reports whether it is worth looking whether s needs to ask.
 func (s *stage) mayAsk(q *Queue, now time.Time) bool {
-	return q.Advice != nil && !s.advice.asking && !now.Before(s.advice.after) && (s.waiting > 0 || s.moving)
+	return q.Advice != nil && !s.advice.asking && !now.Before(s.advice.notBefore) && (s.waiting > 0 || s.needsMove)
 }
 
 // ask returns the question that s needs now, or one without workers.
 func (c *Cell) ask(s *stage, q *Queue, now time.Time) Ask {
 	a := Ask{Step: s.id(), Priority: q.Priority, Advice: *q.Advice}
-	candidates := c.askable(s, q, now)
+	candidates := c.askCandidates(s, q, now)
 	if len(candidates) == 0 {
-		s.advice.after = now.Add(lookAgain)
+		s.advice.notBefore = now.Add(candidateRetryDelay)
 	}
 	for _, w := range candidates[:c.askCount(s, candidates)] {
-		a.lives = append(a.lives, w.worker)
+		a.candidates = append(a.candidates, w.worker)
 		a.Workers = append(a.Workers, w.ID)
 	}
 	return a
@@ -324,11 +324,11 @@
 // askCount returns how many of the candidates a question about s names: as many as are likely to
 // have room for its tasks. Of a long answer most is there however many are named, so that where
 // batch waits for the policy a second question about a step costs more than a wide one.
-func (c *Cell) askCount(s *stage, candidates []askable) int {
-	share := c.policies[s.job.spec.Queue].share()
-	need := askSpare * float64(s.waiting)
+func (c *Cell) askCount(s *stage, candidates []askCandidate) int {
+	share := c.policyStats[s.job.spec.Queue].share()
+	need := askRoomFactor * float64(s.waiting)
 	for i, w := range candidates {
-		if i >= askMost || need <= 0 && i >= askLeast {
+		if i >= maxAskWorkers || need <= 0 && i >= minAskWorkers {
 			return i
 		}
 		fits := float64(s.fits(w.worker))
@@ -345,7 +345,7 @@
 	room := s.def.Room()
 	most := s.waiting
 	if s.def.PerWorker > 0 {
-		most = min(most, s.def.PerWorker-s.carried[w])
+		most = min(most, s.def.PerWorker-s.runsByWorker[w])
 	}
 	free := w.free.Sub(w.reserved)
 	n := 0
@@ -355,71 +355,71 @@
 	return n
 }
 
-// policy is what answers of a queue's policy were like.
-type policy struct {
-	asked, good float64
+// policyStats is what answers of a queue's policyStats were like.
+type policyStats struct {
+	asked, permitted float64
 }
 
 const (
-	// policyKept is how many workers asked about a policy is known by: what it says shifts
+	// policyWindow is how many workers asked about a policy is known by: what it says shifts
 	// with the jobs that come.
-	policyKept = 1000
-	// policyPrior is the share of the workers that a policy is taken to let run a step before
+	policyWindow = 1000
+	// policyPriorShare is the share of the workers that a policy is taken to let run a step before
 	// it has said much, and policyWeight the number of workers that this counts as.
-	policyPrior  = 0.5
-	policyWeight = 10
+	policyPriorShare  = 0.5
+	policyPriorWeight = 10
 )
 
-// answered takes in an answer about some workers that were not asked about before.
-func (p *policy) answered(asked, good int) {
-	if p.asked > policyKept {
-		p.asked, p.good = p.asked/2, p.good/2
+// add takes in an answer about some workers that were not asked about before.
+func (p *policyStats) add(asked, good int) {
+	if p.asked > policyWindow {
+		p.asked, p.permitted = p.asked/2, p.permitted/2
 	}
 	p.asked += float64(asked)
-	p.good += float64(good)
+	p.permitted += float64(good)
 }
 
 // share returns which part of the workers the policy lets run a step.
-func (p *policy) share() float64 {
+func (p *policyStats) share() float64 {
 	if p == nil {
-		return policyPrior
+		return policyPriorShare
 	}
-	return (p.good + policyPrior*policyWeight) / (p.asked + policyWeight)
+	return (p.permitted + policyPriorShare*policyPriorWeight) / (p.asked + policyPriorWeight)
 }
 
-// askable returns the workers about which it is worth asking, those that are known to be let run s
+// askCandidates returns the workers about which it is worth asking, those that are known to be let run s
 // first, then those with the most room: any at first, then those that have room now, and no ticket
 // that still holds, and were not found unfit.
-func (c *Cell) askable(s *stage, q *Queue, now time.Time) []askable {
+func (c *Cell) askCandidates(s *stage, q *Queue, now time.Time) []askCandidate {
 	first := s.advice.asked == nil
 	room := s.def.Room()
-	var out []askable
-	for _, w := range c.order {
+	var out []askCandidate
+	for _, w := range c.sortedWorkers {
 		if !w.usable() || !w.suits(s, q) {
 			continue
 		}
 		if first {
-			out = append(out, askable{worker: w})
+			out = append(out, askCandidate{worker: w})
 			continue
 		}
-		if !w.hasRoom(&room) && !c.soonFree(s, w, q, now) || !w.health.allows(len(w.runs), now) || s.full(w) {
+		if !w.hasRoom(&room) && !c.soonFree(s, w, q, now) || !w.health.allows(len(w.runs), now) || s.atPerWorkerLimit(w) {
 			continue
 		}
-		at, known := s.advice.find(w)
-		if s.advice.asked[w] && (!known || now.Before(s.advice.good[at].until)) {
+		at, known := s.advice.findTicket(w)
+		if s.advice.asked[w] && (!known || now.Before(s.advice.tickets[at].until)) {
 			continue
 		}
-		out = append(out, askable{worker: w, known: known})
+		out = append(out, askCandidate{worker: w, known: known})
 	}
-	slices.SortStableFunc(out, func(x, y askable) int {
+	slices.SortStableFunc(out, func(x, y askCandidate) int {
 		return cmp.Or(compareBools(y.known, x.known), cmp.Compare(y.free[sched.Milli], x.free[sched.Milli]))
 	})
 	return out
 }
 
-// askable is a worker about which it is worth asking, and whether it is known to be let run the
+// askCandidate is a worker about which it is worth asking, and whether it is known to be let run the
 // step.
-type askable struct {
+type askCandidate struct {
 	*worker
 	known bool
 }
@@ -427,14 +427,14 @@
 // soonFree reports whether w, which is reserved for s, will have room by the time the answer
 // to a question is there.
 func (c *Cell) soonFree(s *stage, w *worker, q *Queue, now time.Time) bool {
-	if s.reserved.workers[w] == 0 {
+	if s.reservation.workers[w] == 0 {
 		return false
 	}
 	o := c.offer(w, s, q, now)
-	return o.tasks > 0 && o.wait <= c.askLead(q)
+	return o.tasks > 0 && o.wait <= c.askLeadTime(q)
 }
 
-// full reports whether w carries as many tasks of s as it may.
-func (s *stage) full(w *worker) bool {
-	return s.def.PerWorker > 0 && s.carried[w] >= s.def.PerWorker
+// atPerWorkerLimit reports whether w carries as many tasks of s as it may.
+func (s *stage) atPerWorkerLimit(w *worker) bool {
+	return s.def.PerWorker > 0 && s.runsByWorker[w] >= s.def.PerWorker
 }
--- a/cell/cancelled_test.go
+++ b/cell/cancelled_test.go
@@ -25,7 +25,7 @@
 		Expect(r.Cancel("j", r.now)).To(BeTrue())
 		r.save()
 		Expect(r.place().Starts).To(BeEmpty())
-		r.now = r.now.Add(lookEvery)
+		r.now = r.now.Add(runCheckInterval)
 		r.Listed("w0", Lists{Running: []Running{row(order)}}, r.now, r.now)
 		Expect(r.place().Stops).To(ConsistOf(Stop{Worker: "w0", Addr: "w0", Task: order.Task, Run: order.Run}))
 	})
@@ -36,11 +36,11 @@
 		order := r.startAll()[0]
 		r.Cancel("j", r.now)
 		Expect(r.place().Stops).To(HaveLen(1))
-		r.now = r.now.Add(stopAgain)
+		r.now = r.now.Add(stopRetryInterval)
 		r.Listed("w0", Lists{Running: []Running{row(order)}}, r.now, r.now)
 		Expect(r.place().Stops).To(HaveLen(1))
 		r.end(order, flow.EndStopped)
-		r.now = r.now.Add(stopAgain)
+		r.now = r.now.Add(stopRetryInterval)
 		Expect(r.place().Stops).To(BeEmpty())
 	})
 
@@ -60,7 +60,7 @@
 
 	It("is stopped by the next owner also when that knows nothing of the job any more", func() {
 		r := newRig(1)
-		r.now = r.now.Add(lookEvery)
+		r.now = r.now.Add(runCheckInterval)
 		r.Listed("w0", Lists{Running: []Running{{Task: flow.TaskID{Job: "forgotten"}, Run: 7}}}, r.now, r.now)
 		Expect(r.place().Stops).To(HaveLen(1))
 	})
--- a/cell/cell.go
+++ b/cell/cell.go
@@ -50,55 +50,55 @@
 	// had jobs here.
 	configured map[string]Account
 	accounts   map[string]*account
-	// order holds the workers by their id, so that decisions repeat.
-	order []*worker
-	jobs  map[string]*job
+	// sortedWorkers holds the workers by their id, so that decisions repeat.
+	sortedWorkers []*worker
+	jobs          map[string]*job
 	// finished holds the jobs whose end was not told by Ended yet.
 	finished []*job
-	// unkept holds the jobs that have succeeded and of which the store may not know yet.
-	unkept map[string]*job
-	// over holds the jobs that were retired.
-	over map[string]over
-	// early holds the ends that workers listed of jobs that are not known yet.
-	early []earlyEnd
-	// open holds the stages that have tasks waiting or soon will have.
-	open []*stage
-	// firstRun is added to the number of every run, so that it is above all
+	// unstoredSuccesses holds the jobs that have succeeded and of which the store may not know yet.
+	unstoredSuccesses map[string]*job
+	// retired holds the jobs that were retired.
+	retired map[string]retiredJob
+	// unmatchedEnds holds the ends that workers listed of jobs that are not known yet.
+	unmatchedEnds []unmatchedEnd
+	// openStages holds the stages that have tasks waiting or soon will have.
+	openStages []*stage
+	// runBase is added to the number of every run, so that it is above all
 	// that a former owner gave.
-	firstRun int
-	dirty    []*job
+	runBase int
+	dirty   []*job
 	// asks counts the questions under way, longAsks the long ones among them and oldestAsks those
-	// of these that were asked for how long their steps had waited. asksMost is how many there
+	// of these that were asked for how long their steps had waited. maxAsks is how many there
 	// may be by the last decision.
-	asks, longAsks, oldestAsks, asksMost int
-	// policies is what is known of the policies of queues, by queue.
-	policies map[string]*policy
+	asks, longAsks, oldestAsks, maxAsks int
+	// policyStats is what is known of the policyStats of queues, by queue.
+	policyStats map[string]*policyStats
 	// unasked are the steps that were left without a question during Place.
 	unasked []unasked
 	counts  Counts
 	// changes are those of tasks that last, until Changes.
 	changes []Change
-	// losses are the workers that were lost lately.
-	losses []loss
-	// trialsNow and trialsMost are how many tasks are being tried during Place, and may be.
-	trialsNow, trialsMost int
-	// lostInherited says that a worker of a former owner was gone when this one came.
-	lostInherited bool
-	givenUps      []GivenUp
+	// recentLosses are the workers that were lost lately.
+	recentLosses []workerLoss
+	// activeTrials and maxTrials are how many tasks are being tried during Place, and may be.
+	activeTrials, maxTrials int
+	// inheritedWorkerLost says that a worker of a former owner was gone when this one came.
+	inheritedWorkerLost bool
+	givenUps            []GivenUp
 	// lostRuns are the runs that were lost with their workers, until LostRuns.
 	lostRuns []LostRun
-	// sendMost is how many bytes the starts of the next decision may have, sendLeft what is
+	// sendBudget is how many bytes the starts of the next decision may have, sendBudgetLeft what is
 	// left of that during Place, and sendShared says that those of a step share their text.
-	sendMost, sendLeft int
-	sendShared         bool
-	// heldBack says that the last Place left out starts for want of room to send.
-	heldBack bool
-	// turn counts the lists that were taken in.
-	turn int
-	// restless says that there may be runs to stop, and looked when all runs were
+	sendBudget, sendBudgetLeft int
+	textShared                 bool
+	// sendLimited says that the last Place left out starts for want of room to send.
+	sendLimited bool
+	// listSeq counts the lists that were taken in.
+	listSeq int
+	// runsNeedCheck says that there may be runs to stop, and looked when all runs were
 	// last looked over.
-	restless bool
-	looked   time.Time
+	runsNeedCheck bool
+	runsCheckedAt time.Time
 }
 
 // Counts are totals since the cell was made.
@@ -109,15 +109,15 @@
 // New returns an empty cell whose runs are numbered above firstRun.
 func New(firstRun int) *Cell {
 	return &Cell{
-		queues:   make(map[string]*Queue),
-		workers:  make(map[string]*worker),
-		jobs:     make(map[string]*job),
-		accounts: make(map[string]*account),
-		policies: make(map[string]*policy),
-		over:     make(map[string]over),
-		unkept:   make(map[string]*job),
-		firstRun: firstRun,
-		sendMost: math.MaxInt,
+		queues:            make(map[string]*Queue),
+		workers:           make(map[string]*worker),
+		jobs:              make(map[string]*job),
+		accounts:          make(map[string]*account),
+		policyStats:       make(map[string]*policyStats),
+		retired:           make(map[string]retiredJob),
+		unstoredSuccesses: make(map[string]*job),
+		runBase:           firstRun,
+		sendBudget:        math.MaxInt,
 	}
 }
 
@@ -153,7 +153,7 @@
 // Load returns the present load.
 func (c *Cell) Load() Load {
 	l := Load{Pending: make(map[string]int), Halls: make(map[string]int64)}
-	for _, w := range c.order {
+	for _, w := range c.sortedWorkers {
 		l.Workers++
 		if !w.attached || w.leaving() || w.Gone || !w.described() {
 			continue
@@ -163,7 +163,7 @@
 		l.Free = l.Free.Add(w.free)
 		l.Halls[w.Hall] += max(w.free[sched.Milli], 0)
 	}
-	for _, s := range c.open {
+	for _, s := range c.openStages {
 		if s.waiting > 0 && s.ready() {
 			l.Stages++
 		}
@@ -172,7 +172,7 @@
 		if j.state.Final() {
 			continue
 		}
-		if j.kept && !j.began && j.spec.Times == 0 && !j.share.Foreign() {
+		if j.stored && !j.began && j.spec.Times == 0 && !j.share.Foreign() {
 			l.Pending[j.spec.Queue]++
 		}
 		l.Waiting += j.waitingWork()
@@ -180,7 +180,7 @@
 	return l
 }
 
-func byID(w *worker, id string) int { return strings.Compare(w.ID, id) }
+func compareWorkerID(w *worker, id string) int { return strings.Compare(w.ID, id) }
 
 func (c *Cell) stage(id flow.StepID) *stage {
 	j := c.jobs[id.Job]
--- a/cell/cell_test.go
+++ b/cell/cell_test.go
@@ -316,7 +316,7 @@
 		}
 		r.add("b", flow.Step{Count: 1, Demand: demand(1000)})
 		Expect(r.startAll()).To(BeEmpty())
-		r.now = r.now.Add(probation + time.Millisecond)
+		r.now = r.now.Add(minProbation + time.Millisecond)
 		Expect(r.startAll()).To(HaveLen(1), "one run to see how it ends")
 	})
 
@@ -326,7 +326,7 @@
 		s := r.startAll()[0]
 		row := Lists{Running: []Running{{Task: s.Task, Run: s.Run, Percent: 10}}}
 		r.Listed(s.Worker, row, r.now, r.now)
-		r.now = r.now.Add(stallLeast + 10*time.Millisecond)
+		r.now = r.now.Add(minStallTime + 10*time.Millisecond)
 		r.Listed(s.Worker, row, r.now, r.now)
 		Expect(r.place().Stops).To(HaveLen(1))
 	})
--- a/cell/change.go
+++ b/cell/change.go
@@ -45,9 +45,9 @@
 	return out
 }
 
-// note adds a change of r to what is told, if its task lasts.
-func (c *Cell) note(r *run, e Event) {
-	if r.stage.def.Lasting && !r.stage.stray {
-		c.changes = append(c.changes, Change{Task: r.task(), Run: r.n, Worker: r.w.ID, Event: e})
+// noteChange adds a change of r to what is told, if its task lasts.
+func (c *Cell) noteChange(r *run, e Event) {
+	if r.stage.def.Lasting && !r.stage.unknown {
+		c.changes = append(c.changes, Change{Task: r.task(), Run: r.number, Worker: r.worker.ID, Event: e})
 	}
 }
--- a/cell/choose.go
+++ b/cell/choose.go
@@ -29,9 +29,9 @@
 	var bestTicket string
 	bestScore := 0.0
 	room := s.def.Room()
-	for p := range c.allowed(s, q, now) {
+	for p := range c.permits(s, q, now) {
 		w := p.worker
-		if !w.usable() || !w.hasRoom(&room) || s.full(w) || !w.suits(s, q) || !w.health.allows(len(w.runs), now) || w.underTrial(now) {
+		if !w.usable() || !w.hasRoom(&room) || s.atPerWorkerLimit(w) || !w.suits(s, q) || !w.health.allows(len(w.runs), now) || w.underTrial(now) {
 			continue
 		}
 		score := c.score(s, t, w, &room) + s.trialScore(t, w)
@@ -52,12 +52,12 @@
 }
 
 const (
-	nearBonus    = 10.0
-	hallBonus    = 2.0
-	workerBonus  = 1.0
-	avoidMalus   = 20.0
-	failedMalus  = 3.0
-	sameRackGain = 5.0
+	nearBonus      = 10.0
+	hallBonus      = 2.0
+	workerBonus    = 1.0
+	avoidPenalty   = 20.0
+	failurePenalty = 3.0
+	sameRackBonus  = 5.0
 )
 
 // score says how well a task goes onto a worker that has room for it: best fit,
@@ -72,18 +72,18 @@
 		score += nearBonus
 	}
 	if slices.Contains(t.avoid, w.ID) {
-		score -= avoidMalus
+		score -= avoidPenalty
 	}
-	if w.health.row > 0 {
-		score -= failedMalus
+	if w.health.failuresInRow > 0 {
+		score -= failurePenalty
 	}
 	if !s.def.Lasting {
-		score += s.together(w)
+		score += s.jobAffinity(w)
 	}
 	if s.def.SameRack {
-		for other := range s.carried {
+		for other := range s.runsByWorker {
 			if other.Rack == w.Rack {
-				score += sameRackGain
+				score += sameRackBonus
 				break
 			}
 		}
@@ -91,15 +91,15 @@
 	return score
 }
 
-// together says how much is gained by keeping the tasks of a job in one hall and
+// jobAffinity says how much is gained by keeping the tasks of a job in one hall and
 // on few workers: a job is lost as a whole, so that what fails should hit few
 // jobs.
-func (s *stage) together(w *worker) float64 {
+func (s *stage) jobAffinity(w *worker) float64 {
 	gain := 0.0
 	if w.Hall == s.job.hall {
 		gain += hallBonus
 	}
-	if s.carried[w] > 0 {
+	if s.runsByWorker[w] > 0 {
 		gain += workerBonus
 	}
 	return gain
@@ -109,12 +109,12 @@
 // may run s.
 func (c *Cell) chooseHall(s *stage, q *Queue, now time.Time) {
 	room := make(map[string]int64)
-	for p := range c.allowed(s, q, now) {
+	for p := range c.permits(s, q, now) {
 		if p.worker.usable() && p.worker.suits(s, q) {
 			room[p.worker.Hall] += p.worker.free[sched.Milli]
 		}
 	}
-	best := room[s.job.hall] * stayShare
+	best := room[s.job.hall] * hallSwitchFactor
 	for _, hall := range slices.Sorted(maps.Keys(room)) {
 		if room[hall] > best {
 			best = room[hall]
@@ -123,6 +123,6 @@
 	}
 }
 
-// stayShare keeps a job in its hall unless another one has that many times the
+// hallSwitchFactor keeps a job in its hall unless another one has that many times the
 // room.
-const stayShare = 4
+const hallSwitchFactor = 4
--- a/cell/crash_owner_test.go
+++ b/cell/crash_owner_test.go
@@ -169,6 +169,6 @@
 	once := []flow.Crash{
 		inherited(8192, flow.BlameBeside), seen(8193), inherited(12288, flow.BlameShared), inherited(16384, flow.BlameShared),
 	}
-	g.Expect(guilty(once)).To(BeFalse())
-	g.Expect(guilty([]flow.Crash{once[0], seen(8193), seen(12289), seen(16385)})).To(BeTrue())
+	g.Expect(mustGiveUp(once)).To(BeFalse())
+	g.Expect(mustGiveUp([]flow.Crash{once[0], seen(8193), seen(12289), seen(16385)})).To(BeTrue())
 }
--- a/cell/crash_test.go
+++ b/cell/crash_test.go
@@ -161,10 +161,10 @@
 	r.end(passed[0], flow.EndDone)
 	trial := r.startAll()
 	g.Expect(trial).To(HaveLen(1))
-	r.now = r.now.Add(soon + 100*time.Millisecond)
+	r.now = r.now.Add(youngRunAge + 100*time.Millisecond)
 	r.Unsure(trial[0].Worker, r.now)
 	r.HungUp(trial[0].Worker, true)
-	r.now = r.now.Add(copyAfter + lookEvery)
+	r.now = r.now.Add(copyDelay + runCheckInterval)
 	g.Expect(r.startAll()).To(BeEmpty())
 }
 
@@ -180,7 +180,7 @@
 		if hungUp {
 			r.HungUp(first[0].Worker, true)
 		}
-		r.now = r.now.Add(copyAfter + lookEvery)
+		r.now = r.now.Add(copyDelay + runCheckInterval)
 		want := 1
 		if hungUp {
 			want = 0
--- a/cell/early.go
+++ b/cell/early.go
@@ -15,51 +15,51 @@
 // them before: the next owner would not hear of them, and start their tasks again.
 
 const (
-	// earlyKept is for how long ends of unknown jobs are kept: several times as long as it
+	// unmatchedEndRetention is for how long ends of unknown jobs are kept: several times as long as it
 	// takes an owner to find a job that nobody told it of.
-	earlyKept = 30 * time.Second
-	// earlyMost bounds them.
-	earlyMost = 4096
+	unmatchedEndRetention = 30 * time.Second
+	// maxUnmatchedEnds bounds them.
+	maxUnmatchedEnds = 4096
 )
 
-// earlyEnd is an end that a worker listed of a job that was not known.
-type earlyEnd struct {
+// unmatchedEnd is an end that a worker listed of a job that was not known.
+type unmatchedEnd struct {
 	Finished
 	worker *worker
 	at     time.Time
 }
 
-// keepEarly keeps the end of a run of a job that is not known.
-func (c *Cell) keepEarly(w *worker, f Finished, now time.Time) {
-	c.forgetEarly(now)
-	if over := len(c.early) + 1 - earlyMost; over > 0 {
-		c.early = slices.Delete(c.early, 0, over)
+// addUnmatchedEnd keeps the end of a run of a job that is not known.
+func (c *Cell) addUnmatchedEnd(w *worker, f Finished, now time.Time) {
+	c.expireUnmatchedEnds(now)
+	if over := len(c.unmatchedEnds) + 1 - maxUnmatchedEnds; over > 0 {
+		c.unmatchedEnds = slices.Delete(c.unmatchedEnds, 0, over)
 	}
-	c.early = append(c.early, earlyEnd{Finished: f, worker: w, at: now})
+	c.unmatchedEnds = append(c.unmatchedEnds, unmatchedEnd{Finished: f, worker: w, at: now})
 }
 
-// forgetEarly forgets the ends of jobs that have not become known for long.
-func (c *Cell) forgetEarly(now time.Time) {
-	c.early = slices.DeleteFunc(c.early, func(e earlyEnd) bool { return now.Sub(e.at) > earlyKept })
+// expireUnmatchedEnds forgets the ends of jobs that have not become known for long.
+func (c *Cell) expireUnmatchedEnds(now time.Time) {
+	c.unmatchedEnds = slices.DeleteFunc(c.unmatchedEnds, func(e unmatchedEnd) bool { return now.Sub(e.at) > unmatchedEndRetention })
 }
 
 // JobsRead says that all jobs are known that the store had at a time. A run starts only once the
 // store has its job: an end that was listed before then, of a job that is still not known, is that
 // of a job that is over, or of another cell.
 func (c *Cell) JobsRead(at time.Time) {
-	c.early = slices.DeleteFunc(c.early, func(e earlyEnd) bool { return e.at.Before(at) })
+	c.unmatchedEnds = slices.DeleteFunc(c.unmatchedEnds, func(e unmatchedEnd) bool { return e.at.Before(at) })
 }
 
-// mayForget sets up to which end each worker may be told to forget its ends once all that is dirty
+// setSavingEnds sets up to which end each worker may be told to forget its ends once all that is dirty
 // now is kept: up to the last one that was taken in, or to the one before the first of a job that
 // may still become known.
-func (c *Cell) mayForget() {
-	for _, w := range c.order {
-		w.saving = w.seen
+func (c *Cell) setSavingEnds() {
+	for _, w := range c.sortedWorkers {
+		w.savingEnd = w.seenEnd
 	}
-	for i := range c.early {
-		if e := &c.early[i]; e.decides() {
-			e.worker.saving = min(e.worker.saving, e.Number-1)
+	for i := range c.unmatchedEnds {
+		if e := &c.unmatchedEnds[i]; e.decides() {
+			e.worker.savingEnd = min(e.worker.savingEnd, e.Number-1)
 		}
 	}
 }
@@ -67,38 +67,38 @@
 // decides reports whether an end says something of its task that a record keeps.
 func (f *Finished) decides() bool { return f.How == flow.EndDone || f.How == flow.EndFailed }
 
-// takeEarly takes in what was listed of a job before it was known.
-func (c *Cell) takeEarly(j *job, now time.Time) {
-	for _, e := range c.early {
+// claimUnmatched takes in what was listed of a job before it was known.
+func (c *Cell) claimUnmatched(j *job, now time.Time) {
+	for _, e := range c.unmatchedEnds {
 		if e.Task.Job == j.spec.ID {
-			c.endOfTask(e.worker, e.Finished, now)
+			c.takeTaskEnd(e.worker, e.Finished, now)
 		}
 	}
-	c.early = slices.DeleteFunc(c.early, func(e earlyEnd) bool { return e.Task.Job == j.spec.ID })
-	for _, w := range c.order {
-		if w.strays == 0 {
+	c.unmatchedEnds = slices.DeleteFunc(c.unmatchedEnds, func(e unmatchedEnd) bool { return e.Task.Job == j.spec.ID })
+	for _, w := range c.sortedWorkers {
+		if w.unknownRuns == 0 {
 			continue
 		}
-		for _, r := range w.held {
-			if r.stage.stray && r.stage.job.spec.ID == j.spec.ID {
-				c.claimStray(r, now)
+		for _, r := range w.runList {
+			if r.stage.unknown && r.stage.job.spec.ID == j.spec.ID {
+				c.bindUnknownRun(r, now)
 			}
 		}
 	}
 }
 
-// claimStray gives a run to the step of its job, which is known by now.
-func (c *Cell) claimStray(r *run, now time.Time) {
+// bindUnknownRun gives a run to the step of its job, which is known by now.
+func (c *Cell) bindUnknownRun(r *run, now time.Time) {
 	s := c.stage(flow.StepID{Job: r.stage.job.spec.ID, Time: r.stage.time, Step: r.stage.step})
 	if s == nil || r.index >= len(s.tasks) || s.tasks[r.index].state == taskElsewhere {
 		return
 	}
-	r.w.strays--
+	r.worker.unknownRuns--
 	r.stage, r.taken = s, s.def.Room()
-	r.w.free = r.w.free.Sub(r.taken)
+	r.worker.free = r.worker.free.Sub(r.taken)
 	s.job.charge(s.def.Demand)
 	if s.def.Fills {
-		r.w.fills++
+		r.worker.fillerRuns++
 	}
 	s.job.began = true
 	c.bind(r, now)
--- a/cell/empty.go
+++ b/cell/empty.go
@@ -11,12 +11,12 @@
 // there moves as it does from a worker that leaves. Each counts as leaving patience
 // after it was named first.
 func (c *Cell) Empty(ids []string, patience time.Duration, now time.Time) {
-	for _, w := range c.order {
+	for _, w := range c.sortedWorkers {
 		switch wanted := slices.Contains(ids, w.ID); {
-		case wanted && w.emptyBy.IsZero():
-			w.emptyBy, c.restless = now.Add(patience), true
+		case wanted && w.evacuateBy.IsZero():
+			w.evacuateBy, c.runsNeedCheck = now.Add(patience), true
 		case !wanted:
-			w.emptyBy = time.Time{}
+			w.evacuateBy = time.Time{}
 		}
 	}
 }
@@ -26,20 +26,20 @@
 // it may.
 func (c *Cell) Emptied(id string, now time.Time) bool {
 	w := c.workers[id]
-	if w == nil || w.emptyBy.IsZero() || !w.attached {
+	if w == nil || w.evacuateBy.IsZero() || !w.attached {
 		return false
 	}
 	if len(w.runs) == 0 {
 		return true
 	}
-	return !now.Before(w.emptyBy) && !slices.ContainsFunc(w.held, (*run).missed)
+	return !now.Before(w.evacuateBy) && !slices.ContainsFunc(w.runList, (*run).missed)
 }
 
 // missed reports whether r is at work for a step that may miss only some of its tasks
 // by the system's doing.
 func (r *run) missed() bool {
-	return !r.stage.stray && r.stage.def.Lasting && r.stage.def.MayMiss > 0 && r.atWork()
+	return !r.stage.unknown && r.stage.def.Lasting && r.stage.def.MayMiss > 0 && r.atWork()
 }
 
 // leaving reports whether w is given up soon, by itself or for its upkeep.
-func (w *worker) leaving() bool { return w.Draining || !w.emptyBy.IsZero() }
+func (w *worker) leaving() bool { return w.Draining || !w.evacuateBy.IsZero() }
--- a/cell/ends.go
+++ b/cell/ends.go
@@ -9,93 +9,93 @@
 	"dewpass.org/flow"
 )
 
-// ended takes in the end of a run.
-func (c *Cell) ended(w *worker, f Finished, now time.Time) {
+// takeEnd takes in the end of a run.
+func (c *Cell) takeEnd(w *worker, f Finished, now time.Time) {
 	r := w.runs[runKey{f.Task, f.Run}]
 	if r != nil {
 		r.endTrial(f.How == flow.EndDone)
-		c.note(r, RunEndListed)
-		c.drop(r)
+		c.noteChange(r, RunEndListed)
+		c.removeRun(r)
 	}
 	if !c.Known(f.Task.Job) {
-		c.keepEarly(w, f, now)
+		c.addUnmatchedEnd(w, f, now)
 		return
 	}
-	c.endOfTask(w, f, now)
+	c.takeTaskEnd(w, f, now)
 }
 
-// endOfTask takes in the end of a run of a job that is known.
-func (c *Cell) endOfTask(w *worker, f Finished, now time.Time) {
+// takeTaskEnd takes in the end of a run of a job that is known.
+func (c *Cell) takeTaskEnd(w *worker, f Finished, now time.Time) {
 	s := c.stage(flow.StepID{Job: f.Task.Job, Time: f.Task.Time, Step: f.Task.Step})
 	if s == nil || f.Task.Index >= len(s.tasks) {
 		return
 	}
 	s.job.began = true
 	t := &s.tasks[f.Task.Index]
-	t.last = max(t.last, f.Run-c.firstRun)
+	t.lastRun = max(t.lastRun, f.Run-c.runBase)
 	if f.Saved != "" {
-		t.saved = f.Saved
+		t.checkpoint = f.Saved
 	}
 	switch f.How {
 	case flow.EndDone:
 		c.counts.Done++
-		w.health.good(now)
-		c.done(s, f.Task.Index, now)
+		w.health.runDone(now)
+		c.completeTask(s, f.Task.Index, now)
 	case flow.EndFailed:
 		c.counts.Failed++
-		c.failed(s, f, w, now)
+		c.takeFailure(s, f, w, now)
 	case flow.EndStopped, flow.EndBroken, flow.EndAlone:
 		c.counts.Stopped++
 	case flow.EndLapsed:
 		c.counts.Lapsed++
-		s.job.story.Lost++
+		s.job.history.Lost++
 	}
 	c.requeue(s, f.Task.Index, f.Saved, now)
 }
 
 // requeue lets a task wait again if it has no run left and is not done.
 func (c *Cell) requeue(s *stage, index int, saved string, now time.Time) {
-	if s.stray {
+	if s.unknown {
 		return
 	}
 	t := &s.tasks[index]
 	if saved != "" {
-		t.saved = saved
+		t.checkpoint = saved
 	}
 	if t.state != taskActive || len(t.runs) > 0 {
 		return
 	}
 	if s.waiting == 0 {
-		s.waitSince = now
-		if !slices.Contains(c.open, s) {
-			c.open = append(c.open, s)
+		s.waitingSince = now
+		if !slices.Contains(c.openStages, s) {
+			c.openStages = append(c.openStages, s)
 		}
 	}
 	s.setWaiting(t, true)
 }
 
-// done takes in that a task is done. One member of a gang speaks for all.
-func (c *Cell) done(s *stage, index int, now time.Time) {
-	if s.def.Lasting || s.left == 0 {
+// completeTask takes in that a task is completeTask. One member of a gang speaks for all.
+func (c *Cell) completeTask(s *stage, index int, now time.Time) {
+	if s.def.Lasting || s.tasksLeft == 0 {
 		return
 	}
 	if s.def.Gang {
 		for i := range s.tasks {
-			c.oneDone(s, i)
+			c.markTaskDone(s, i)
 		}
 	} else {
-		c.oneDone(s, index)
+		c.markTaskDone(s, index)
 	}
-	c.mark(s.job)
+	c.markDirty(s.job)
 	// Copies and members of a gang may run on.
-	c.restless = c.restless || s.def.Copies || s.def.Gang
-	if s.left == 0 {
+	c.runsNeedCheck = c.runsNeedCheck || s.def.Copies || s.def.Gang
+	if s.tasksLeft == 0 {
 		s.doneAt = now
-		c.stageDone(s, now)
+		c.completeStage(s, now)
 	}
 }
 
-func (c *Cell) oneDone(s *stage, index int) {
+func (c *Cell) markTaskDone(s *stage, index int) {
 	t := &s.tasks[index]
 	if t.state == taskDone {
 		return
@@ -104,12 +104,12 @@
 		s.setWaiting(t, false)
 	}
 	t.state = taskDone
-	t.saved = ""
-	s.left--
+	t.checkpoint = ""
+	s.tasksLeft--
 }
 
-// stageDone opens the steps behind a stage, or ends its job.
-func (c *Cell) stageDone(s *stage, now time.Time) {
+// completeStage opens the steps behind a stage, or ends its job.
+func (c *Cell) completeStage(s *stage, now time.Time) {
 	j := s.job
 	if j.state.Final() {
 		return
@@ -117,42 +117,42 @@
 	for i := range j.spec.Steps {
 		next := j.stage(s.time, i)
 		if slices.Contains(next.def.After, s.step) {
-			next.before--
-			if next.before == 0 {
-				next.waitSince = now
+			next.pendingDeps--
+			if next.pendingDeps == 0 {
+				next.waitingSince = now
 			}
 		}
 	}
-	j.left--
-	if j.left == 0 {
+	j.stagesLeft--
+	if j.stagesLeft == 0 {
 		c.finish(j, flow.Succeeded, now)
 	}
 }
 
-// failed takes in a failed attempt.
-func (c *Cell) failed(s *stage, f Finished, w *worker, now time.Time) {
+// takeFailure takes in a takeFailure attempt.
+func (c *Cell) takeFailure(s *stage, f Finished, w *worker, now time.Time) {
 	t := &s.tasks[f.Task.Index]
-	if slices.Contains(t.fails, f.Run) {
+	if slices.Contains(t.failedRuns, f.Run) {
 		// A former owner has taken note of it.
 		return
 	}
-	w.health.bad(now)
-	s.job.story.Failed++
+	w.health.runFailed(now)
+	s.job.history.Failed++
 	if !slices.Contains(t.avoid, w.ID) {
 		t.avoid = append(t.avoid, w.ID)
 	}
 	if s.def.Lasting {
 		return
 	}
-	t.fails = append(t.fails, f.Run)
-	c.mark(s.job)
-	attempts := len(t.fails)
+	t.failedRuns = append(t.failedRuns, f.Run)
+	c.markDirty(s.job)
+	attempts := len(t.failedRuns)
 	if s.def.Gang {
-		if s.gangFails == nil {
-			s.gangFails = make(map[int]bool)
+		if s.gangFailedRuns == nil {
+			s.gangFailedRuns = make(map[int]bool)
 		}
-		s.gangFails[f.Run] = true
-		attempts = len(s.gangFails)
+		s.gangFailedRuns[f.Run] = true
+		attempts = len(s.gangFailedRuns)
 	}
 	if t.state == taskDone || s.job.state.Final() {
 		return
@@ -197,30 +197,30 @@
 		return
 	}
 	r := w.runs[runKey{task, n}]
-	if r == nil || !r.confirmed.IsZero() {
+	if r == nil || !r.confirmedAt.IsZero() {
 		return
 	}
 	if o == Accepted {
 		c.confirm(r, now)
 		return
 	}
-	c.note(r, RunNotBegun)
-	c.drop(r)
+	c.noteChange(r, RunNotBegun)
+	c.removeRun(r)
 	switch o {
 	case NoRoom:
 		// What the worker has is not what is on the books.
 		c.Unsure(worker, now)
-		w.health.hasNoRoom(now)
+		w.health.noRoom(now)
 	case NoTicket:
-		r.stage.advice.forget(w)
+		r.stage.advice.expireTicket(w)
 	case TooOld:
-		r.stage.tasks[r.index].last += runSkip
+		r.stage.tasks[r.index].lastRun += runNumberSkip
 	case Unhealthy:
-		w.health.refuse(now)
+		w.health.pause(now)
 	}
-	c.requeue(r.stage, r.index, r.saved, now)
+	c.requeue(r.stage, r.index, r.checkpoint, now)
 }
 
-// runSkip is how many numbers are passed over when a worker has seen a higher
+// runNumberSkip is how many numbers are passed over when a worker has seen a higher
 // one than the cell.
-const runSkip = 16
+const runNumberSkip = 16
--- a/cell/job.go
+++ b/cell/job.go
@@ -24,21 +24,21 @@
 
 type task struct {
 	state taskState
-	// last is the number of the last run, without the cell's firstRun.
-	last int
-	runs []*run
-	// fails holds the numbers of the runs that failed.
-	fails []int
-	saved string
-	// yields counts how often it was stopped for a task of a more urgent queue.
-	yields int
+	// lastRun is the number of the lastRun run, without the cell's firstRun.
+	lastRun int
+	runs    []*run
+	// failedRuns holds the numbers of the runs that failed.
+	failedRuns []int
+	checkpoint string
+	// yieldCount counts how often it was stopped for a task of a more urgent queue.
+	yieldCount int
 	// avoid are workers on which the task has failed.
 	avoid []string
 	// crashes are its runs that were lost with their workers since one went on well, of
 	// which the store has the first crashesKept, and lostRacks the racks of those workers.
-	crashes     []flow.Crash
-	crashesKept int
-	lostRacks   []string
+	crashes       []flow.Crash
+	storedCrashes int
+	lostRacks     []string
 }
 
 // stage is one step of a job at one time.
@@ -47,86 +47,86 @@
 	time int
 	step int
 	def  *flow.Step
-	// stray marks the stand-in for the step of a job that is not known.
-	stray bool
+	// unknown marks the stand-in for the step of a job that is not known.
+	unknown bool
 
-	tasks   []task
-	left    int
-	waiting int
-	// before counts the steps that are not done yet.
-	before int
-	due    time.Time
+	tasks     []task
+	tasksLeft int
+	waiting   int
+	// pendingDeps counts the steps that are not done yet.
+	pendingDeps int
+	due         time.Time
 
-	carried map[*worker]int
-	advice  stageAdvice
-	// gangFails holds the numbers of a gang's runs that failed, and gangLast that
+	runsByWorker map[*worker]int
+	advice       stageAdvice
+	// gangFailedRuns holds the numbers of a gang's runs that failed, and gangLast that
 	// of its last run.
-	gangFails map[int]bool
-	gangLast  int
-	// reserved is the room that is held for its tasks while they wait.
-	reserved reservation
-	// waitSince is since when a task waits, and doneAt when the last was done.
-	waitSince time.Time
-	doneAt    time.Time
+	gangFailedRuns map[int]bool
+	gangLastRun    int
+	// reservation is the room that is held for its tasks while they wait.
+	reservation reservation
+	// waitingSince is since when a task waits, and doneAt when the last was done.
+	waitingSince time.Time
+	doneAt       time.Time
 	// chain is the estimate of the work from this step to the end of its job.
 	chain time.Duration
-	// waits is what it has waited for.
-	waits waits
-	// told is when it was last told that the stage waits.
-	told time.Time
+	// waitTimes is what it has waited for.
+	waitTimes waitTimes
+	// reportedAt is when it was last reportedAt that the stage waits.
+	reportedAt time.Time
 	// rank is the stage's place in the present order.
 	rank rank
-	// moving says that a task has to leave its worker, or is about to be lost with it, and finds
+	// needsMove says that a task has to leave its worker, or is about to be lost with it, and finds
 	// no place yet.
-	moving bool
-	// halls are those, beside the job's own, of which the store knows that tasks
-	// may have been started there, and opening those that it has to be told of.
-	halls, opening []string
-	// blamed counts the workers whose loss was held against tasks of it, since one of its
+	needsMove bool
+	// storedHalls are those, beside the job's own, of which the store knows that tasks
+	// may have been started there, and hallsToStore those that it has to be told of.
+	storedHalls, hallsToStore []string
+	// blamedLosses counts the workers whose loss was held against tasks of it, since one of its
 	// trials went well.
-	blamed int
-	// inherited are the halls that a former owner had opened.
-	inherited []string
+	blamedLosses int
+	// inheritedHalls are the halls that a former owner had opened.
+	inheritedHalls []string
 }
 
 type job struct {
 	spec *flow.Spec
 	// account is the client account that handed it in, nil if none is known, and beyond says
 	// that it came beyond its account's share.
-	account *account
-	beyond  bool
+	account     *account
+	beyondShare bool
 	// priority is that of its queue when it came.
 	priority int
 	// share is the part of its tasks that are this cell's.
 	share flow.Share
-	// kept says that the store has the job; nothing starts before.
-	kept bool
+	// stored says that the store has the job; nothing starts before.
+	stored bool
 	// began says that a worker has had a task of it.
 	began     bool
 	cancelled bool
 	state     flow.State
-	// shown is the state that the store has.
-	shown flow.State
+	// storedState is the state that the store has.
+	storedState flow.State
 	// archived says that the store has its end apart from the record.
 	archived bool
-	// shared says that another instance knows that it has succeeded.
-	shared  bool
-	arrived time.Time
-	ended   time.Time
-	stages  []*stage
-	left    int
-	// marked says that the job is among those to be saved.
-	marked bool
-	story  Story
-	// longest is the estimate of the longest chain of steps.
-	longest time.Duration
+	// successShared says that another instance knows that it has succeeded.
+	successShared bool
+	arrived       time.Time
+	ended         time.Time
+	stages        []*stage
+	stagesLeft    int
+	// dirty says that the job is among those to be saved.
+	dirty   bool
+	history Story
+	// longestChain is the estimate of the longestChain chain of steps.
+	longestChain time.Duration
 	// hall is where the tasks of the job go as long as there is room, so that
 	// the loss of a hall hurts few jobs.
 	hall string
 	// restored says that a former owner knew it.
 	restored bool
-	// trials counts its runs that are being tried, and trialsPassed those that went well.
-	trials, trialsPassed int
+	// activeTrials counts its runs that are being tried, and trialsPassed those that went well.
+	activeTrials, trialsPassed int
 }
 
 func (j *job) stage(k, step int) *stage {
@@ -158,7 +158,7 @@
 }
 
 // ready reports whether the steps before s are done.
-func (s *stage) ready() bool { return s.before == 0 && !s.job.state.Final() }
+func (s *stage) ready() bool { return s.pendingDeps == 0 && !s.job.state.Final() }
 
 func (s *stage) setWaiting(t *task, waits bool) {
 	if waits {
@@ -169,13 +169,13 @@
 	}
 }
 
-func (s *stage) onWorker(w *worker, by int) {
-	if s.carried == nil {
-		s.carried = make(map[*worker]int)
+func (s *stage) countRunOn(w *worker, by int) {
+	if s.runsByWorker == nil {
+		s.runsByWorker = make(map[*worker]int)
 	}
-	s.carried[w] += by
-	if s.carried[w] <= 0 {
-		delete(s.carried, w)
+	s.runsByWorker[w] += by
+	if s.runsByWorker[w] <= 0 {
+		delete(s.runsByWorker, w)
 	}
 }
 
@@ -189,16 +189,16 @@
 
 // Keep says that the store has the job.
 func (c *Cell) Keep(id string) {
-	if j := c.jobs[id]; j != nil && !j.kept {
-		j.kept = true
-		j.shown = flow.Pending
+	if j := c.jobs[id]; j != nil && !j.stored {
+		j.stored = true
+		j.storedState = flow.Pending
 	}
 }
 
 // Drop removes a job that the store did not take.
 func (c *Cell) Drop(id string) {
 	j := c.jobs[id]
-	if j == nil || j.kept {
+	if j == nil || j.stored {
 		return
 	}
 	j.state = flow.Canceled
@@ -211,10 +211,10 @@
 		return
 	}
 	j := c.add(spec, rec, arrived, now)
-	j.kept, j.restored = true, true
-	j.shown = flow.Pending
+	j.stored, j.restored = true, true
+	j.storedState = flow.Pending
 	if rec != nil {
-		j.shown = rec.State
+		j.storedState = rec.State
 	}
 }
 
@@ -227,7 +227,7 @@
 	if q := c.queues[spec.Queue]; q != nil {
 		j.priority = q.Priority
 	}
-	j.beyond = j.account.takeShare(arrived)
+	j.beyondShare = j.account.takeShare(arrived)
 	if rec != nil {
 		j.state, j.cancelled = rec.State, rec.Cancelled
 		j.began = rec.State != flow.Pending
@@ -237,8 +237,8 @@
 		for i := range spec.Steps {
 			s := newStage(j, k, i, rec)
 			j.stages = append(j.stages, s)
-			if s.left > 0 {
-				j.left++
+			if s.tasksLeft > 0 {
+				j.stagesLeft++
 			}
 		}
 	}
@@ -249,33 +249,33 @@
 	}
 	for _, s := range j.stages {
 		for _, b := range s.def.After {
-			if j.stage(s.time, b).left > 0 {
-				s.before++
+			if j.stage(s.time, b).tasksLeft > 0 {
+				s.pendingDeps++
 			}
 		}
-		if s.left > 0 {
-			s.waitSince = arrived
-			c.open = append(c.open, s)
+		if s.tasksLeft > 0 {
+			s.waitingSince = arrived
+			c.openStages = append(c.openStages, s)
 		}
 	}
-	if j.left == 0 {
+	if j.stagesLeft == 0 {
 		c.finish(j, flow.Succeeded, now)
 	}
-	c.takeEarly(j, now)
+	c.claimUnmatched(j, now)
 	return j
 }
 
 func newStage(j *job, k, step int, rec *flow.Record) *stage {
 	def := &j.spec.Steps[step]
 	s := &stage{job: j, time: k, step: step, def: def, due: j.spec.Due(k), chain: j.spec.Chain(step)}
-	j.longest = max(j.longest, s.chain)
+	j.longestChain = max(j.longestChain, s.chain)
 	s.tasks = make([]task, def.Count)
 	for i := range s.tasks {
 		if !j.share.Has(i) {
 			s.tasks[i].state = taskElsewhere
 			continue
 		}
-		s.left++
+		s.tasksLeft++
 		s.waiting++
 	}
 	at := k*len(j.spec.Steps) + step
@@ -283,27 +283,27 @@
 		return s
 	}
 	old := &rec.Stages[at]
-	s.halls, s.inherited = old.Halls, old.Halls
+	s.storedHalls, s.inheritedHalls = old.Halls, old.Halls
 	for i := range s.tasks {
 		t := &s.tasks[i]
-		t.saved, t.fails = old.Saved[i], old.Fails[i]
+		t.checkpoint, t.failedRuns = old.Saved[i], old.Fails[i]
 		t.crashes = old.Crashes[i]
-		t.crashesKept = len(t.crashes)
-		s.blamed = max(s.blamed, len(t.crashes))
+		t.storedCrashes = len(t.crashes)
+		s.blamedLosses = max(s.blamedLosses, len(t.crashes))
 		if old.Done.Has(i) {
 			t.state = taskDone
-			s.left--
+			s.tasksLeft--
 			s.waiting--
-		} else if t.state == taskWaiting && j.share.Foreign() && guilty(t.crashes) {
+		} else if t.state == taskWaiting && j.share.Foreign() && mustGiveUp(t.crashes) {
 			t.state = taskGivenUp
 			s.waiting--
 		}
 	}
 	if def.Gang {
-		s.gangFails = make(map[int]bool)
+		s.gangFailedRuns = make(map[int]bool)
 		for i := range s.tasks {
-			for _, n := range s.tasks[i].fails {
-				s.gangFails[n] = true
+			for _, n := range s.tasks[i].failedRuns {
+				s.gangFailedRuns[n] = true
 			}
 		}
 	}
@@ -326,16 +326,16 @@
 // State returns the state of a job that may be shown, and whether the job is
 // known.
 func (c *Cell) State(id string) (flow.State, bool) {
-	if o, ok := c.over[id]; ok {
+	if o, ok := c.retired[id]; ok {
 		return o.state, true
 	}
 	j := c.jobs[id]
 	switch {
-	case j == nil || !j.kept:
+	case j == nil || !j.stored:
 		return "", false
-	case j.shown.Final():
-		return j.shown, true
-	case j.shared:
+	case j.storedState.Final():
+		return j.storedState, true
+	case j.successShared:
 		return flow.Succeeded, true
 	case j.began:
 		return flow.Running, true
@@ -345,7 +345,7 @@
 
 // Known reports whether a job is here, kept or not.
 func (c *Cell) Known(id string) bool {
-	_, over := c.over[id]
+	_, over := c.retired[id]
 	return over || c.jobs[id] != nil
 }
 
@@ -353,31 +353,31 @@
 func (c *Cell) finish(j *job, state flow.State, now time.Time) {
 	j.state, j.ended = state, now
 	c.finished = append(c.finished, j)
-	c.restless = true
+	c.runsNeedCheck = true
 	if state == flow.Succeeded {
-		c.unkept[j.spec.ID] = j
+		c.unstoredSuccesses[j.spec.ID] = j
 	}
-	j.story.Took = now.Sub(j.arrived)
-	c.mark(j)
+	j.history.Took = now.Sub(j.arrived)
+	c.markDirty(j)
 }
 
-func (c *Cell) mark(j *job) {
-	if !j.marked {
-		j.marked = true
+func (c *Cell) markDirty(j *job) {
+	if !j.dirty {
+		j.dirty = true
 		c.dirty = append(c.dirty, j)
 	}
 }
 
-// mayStart reports whether tasks of s may start on the workers of a hall. Those of
+// mayStartIn reports whether tasks of s may start on the workers of a hall. Those of
 // the job's own hall may at once, as every owner reckons with that; of any other
 // the store is told first.
-func (c *Cell) mayStart(s *stage, hall string) bool {
-	if (hall != "" && hall == s.job.spec.Hall) || slices.Contains(s.halls, hall) {
+func (c *Cell) mayStartIn(s *stage, hall string) bool {
+	if (hall != "" && hall == s.job.spec.Hall) || slices.Contains(s.storedHalls, hall) {
 		return true
 	}
-	if !slices.Contains(s.opening, hall) {
-		s.opening = append(s.opening, hall)
-		c.mark(s.job)
+	if !slices.Contains(s.hallsToStore, hall) {
+		s.hallsToStore = append(s.hallsToStore, hall)
+		c.markDirty(s.job)
 	}
 	return false
 }
@@ -386,5 +386,5 @@
 // which it is not known yet.
 func (c *Cell) heldUp(s *stage, unsettled *unsettled) bool {
 	return s.job.restored && (unsettled.any ||
-		unsettled.halls[s.job.spec.Hall] || slices.ContainsFunc(s.inherited, func(h string) bool { return unsettled.halls[h] }))
+		unsettled.halls[s.job.spec.Hall] || slices.ContainsFunc(s.inheritedHalls, func(h string) bool { return unsettled.halls[h] }))
 }
--- a/cell/late.go
+++ b/cell/late.go
@@ -8,8 +8,8 @@
 	"dewpass.org/flow"
 )
 
-// lateLeast is how long a step has waited for the last of its tasks to start for that to be told.
-const lateLeast = 250 * time.Millisecond
+// minLateStart is how long a step has waited for the last of its tasks to start for that to be told.
+const minLateStart = 250 * time.Millisecond
 
 // Asking is what a step waits for while a question to the policy about it is under way and none
 // of the workers that may run it has room.
@@ -27,38 +27,38 @@
 	For    map[Why]time.Duration
 }
 
-// waits is what a step has waited for since it was ready.
-type waits struct {
-	seen time.Time
-	why  Why
-	sum  map[Why]time.Duration
+// waitTimes is what a step has waited for since it was ready.
+type waitTimes struct {
+	since    time.Time
+	why      Why
+	byReason map[Why]time.Duration
 }
 
-// waitsFor notes what s waits for from now on.
-func (s *stage) waitsFor(why Why, now time.Time) {
-	if s.waits.why != "" {
-		if s.waits.sum == nil {
-			s.waits.sum = make(map[Why]time.Duration)
+// setWaitReason notes what s waits for from now on.
+func (s *stage) setWaitReason(why Why, now time.Time) {
+	if s.waitTimes.why != "" {
+		if s.waitTimes.byReason == nil {
+			s.waitTimes.byReason = make(map[Why]time.Duration)
 		}
-		s.waits.sum[s.waits.why] += now.Sub(s.waits.seen)
+		s.waitTimes.byReason[s.waitTimes.why] += now.Sub(s.waitTimes.since)
 	}
-	s.waits.why, s.waits.seen = why, now
+	s.waitTimes.why, s.waitTimes.since = why, now
 }
 
 // allStarted takes in that no task of s waits any more, and tells of it if that took long.
 func (c *Cell) allStarted(s *stage, q *Queue, a *Actions, now time.Time) {
-	s.waitsFor("", now)
-	if waited := now.Sub(s.waitSince); waited >= lateLeast {
+	s.setWaitReason("", now)
+	if waited := now.Sub(s.waitingSince); waited >= minLateStart {
 		a.Late = append(a.Late, LateStart{
 			Step: s.id(), Queue: q.Name, Priority: q.Priority, Account: s.job.spec.Account, Tasks: len(s.tasks),
-			Waited: waited, For: s.waits.sum,
+			Waited: waited, For: s.waitTimes.byReason,
 		})
 	}
-	s.waits = waits{}
+	s.waitTimes = waitTimes{}
 }
 
-// whyWaits returns what s waits for, where why is what its placement said.
-func (c *Cell) whyWaits(s *stage, why Why, now time.Time) Why {
+// waitReason returns what s waits for, where why is what its placement said.
+func (c *Cell) waitReason(s *stage, why Why, now time.Time) Why {
 	if why != NoWorker && why != Full {
 		return why
 	}
@@ -66,7 +66,7 @@
 		return Asking
 	}
 	if why == NoWorker {
-		return c.whyNone(s, now)
+		return c.noWorkerReason(s, now)
 	}
 	return why
 }
--- a/cell/leave_test.go
+++ b/cell/leave_test.go
@@ -23,14 +23,14 @@
 		notice := 2 * time.Second
 		r.heard(gang[0].Worker, func(w *Worker) { w.Draining, w.Remaining = true, notice })
 		stops := func(left time.Duration) []Stop {
-			r.now = r.now.Add(r.workers[gang[0].Worker].leavesIn(r.now) - left)
+			r.now = r.now.Add(r.workers[gang[0].Worker].timeUntilLeave(r.now) - left)
 			for _, s := range gang {
 				r.Listed(s.Worker, Lists{Running: []Running{{Task: s.Task, Run: s.Run, Percent: 95}}}, r.now, r.now)
 			}
 			return r.place().Stops
 		}
-		Expect(stops(lastEnds + 50*time.Millisecond)).To(BeEmpty())
-		last := stops(lastEnds)
+		Expect(stops(endListingMargin + 50*time.Millisecond)).To(BeEmpty())
+		last := stops(endListingMargin)
 		Expect(last).To(HaveLen(1))
 		Expect(last[0].Worker).To(Equal(gang[0].Worker))
 	})
@@ -73,17 +73,17 @@
 			m.end(Start{Worker: s.Worker, Task: s.Task, Run: s.Run}, flow.EndStopped)
 		}
 	}
-	for _, w := range m.order {
-		for _, r := range w.held {
+	for _, w := range m.sortedWorkers {
+		for _, r := range w.runList {
 			percent := 0
-			if m.now.Sub(m.begun[runName(r.task(), r.n)]) >= m.warmUp {
+			if m.now.Sub(m.begun[runName(r.task(), r.number)]) >= m.warmUp {
 				percent = 100
 			}
-			m.Listed(w.ID, Lists{Running: []Running{{Task: r.task(), Run: r.n, Percent: percent}}, Cut: true}, m.now, m.now)
+			m.Listed(w.ID, Lists{Running: []Running{{Task: r.task(), Run: r.number, Percent: percent}}, Cut: true}, m.now, m.now)
 		}
 	}
 	if s := m.stage(flow.StepID{Job: "j"}); s != nil {
-		m.most = max(m.most, s.away())
+		m.most = max(m.most, s.tasksAway())
 	}
 }
 
@@ -95,8 +95,8 @@
 
 // leave has the first n workers that run something leave in d.
 func (m *moves) leave(n int, d time.Duration) {
-	for _, w := range m.order {
-		if n > 0 && len(w.held) > 0 {
+	for _, w := range m.sortedWorkers {
+		if n > 0 && len(w.runList) > 0 {
 			m.heard(w.ID, func(w *Worker) { w.Draining, w.Remaining = true, d })
 			n--
 		}
@@ -106,9 +106,9 @@
 // left counts the runs that are still on workers that leave.
 func (m *moves) left() int {
 	n := 0
-	for _, w := range m.order {
+	for _, w := range m.sortedWorkers {
 		if w.Draining {
-			n += len(w.held)
+			n += len(w.runList)
 		}
 	}
 	return n
@@ -138,7 +138,7 @@
 		m.leave(leave, notice)
 		m.play(notice)
 		Expect(m.left()).To(BeZero())
-		Expect(m.stage(flow.StepID{Job: "j"}).away()).To(BeZero())
+		Expect(m.stage(flow.StepID{Job: "j"}).tasksAway()).To(BeZero())
 		Expect(m.most).To(BeNumerically("<=", 4), "and only so many are away at once as it takes")
 	})
 
@@ -148,8 +148,8 @@
 		s := m.stage(flow.StepID{Job: "j"})
 		m.leave(leave-1, notice)
 		stuck := s.tasks[workers-leave-1].runs[0]
-		stuck.percent, stuck.progressed = 0, m.now
-		m.begun[runName(stuck.task(), stuck.n)] = m.now.Add(time.Hour)
+		stuck.percent, stuck.lastProgress = 0, m.now
+		m.begun[runName(stuck.task(), stuck.number)] = m.now.Add(time.Hour)
 		m.play(notice)
 		Expect(m.left()).To(BeZero())
 	})
@@ -181,10 +181,10 @@
 			}
 		}
 		Expect(s.waiting).To(Equal(10))
-		m.end(Start{Worker: failed.w.ID, Task: failed.task(), Run: failed.n}, flow.EndFailed)
-		s.tasks[failed.index].last = 0
+		m.end(Start{Worker: failed.worker.ID, Task: failed.task(), Run: failed.number}, flow.EndFailed)
+		s.tasks[failed.index].lastRun = 0
 		before := &s.tasks[len(s.tasks)-1]
-		before.last = 1
+		before.lastRun = 1
 		m.play(time.Second)
 		Expect(before.state).To(Equal(taskActive), "the only one that was at work")
 	})
--- a/cell/link_test.go
+++ b/cell/link_test.go
@@ -109,27 +109,27 @@
 	long := flow.Step{Count: 1, EstimateMS: 60_000}
 
 	It("comes seldom where nothing has to be watched", func() {
-		Expect(look()).To(Equal(lookMost))
-		Expect(look(long)).To(Equal(lookMost))
+		Expect(look()).To(Equal(maxPollInterval))
+		Expect(look(long)).To(Equal(maxPollInterval))
 	})
 
 	It("comes often where a short run may stand still", func() {
-		Expect(look(long, flow.Step{Count: 1, EstimateMS: 1000})).To(Equal(lookLeast))
+		Expect(look(long, flow.Step{Count: 1, EstimateMS: 1000})).To(Equal(minPollInterval))
 	})
 
 	It("comes often where runs that fill are beside one that serves", func() {
 		serves := flow.Step{Count: 1, Lasting: true, TargetMS: 100}
-		Expect(look(serves)).To(BeNumerically(">", lookLeast))
-		Expect(look(serves, flow.Step{Count: 1, Fills: true, EstimateMS: 60_000})).To(Equal(lookLeast))
+		Expect(look(serves)).To(BeNumerically(">", minPollInterval))
+		Expect(look(serves, flow.Step{Count: 1, Fills: true, EstimateMS: 60_000})).To(Equal(minPollInterval))
 	})
 
 	It("comes in between where runs save their work", func() {
 		saves := long
 		saves.Checkpoints = true
-		Expect(look(saves)).To(Equal(lookSaving))
+		Expect(look(saves)).To(Equal(checkpointPollInterval))
 	})
 
 	It("of a worker that is not known comes often", func() {
-		Expect(New(0).LookWithin("w")).To(Equal(lookLeast))
+		Expect(New(0).LookWithin("w")).To(Equal(minPollInterval))
 	})
 })
--- a/cell/look.go
+++ b/cell/look.go
@@ -10,14 +10,14 @@
 // a link of 2 Mbit/s. So a worker is looked at as often as what runs there has to be watched.
 
 const (
-	// lookLeast is how often a worker is looked at where answer times have to be followed
+	// minPollInterval is how often a worker is looked at where answer times have to be followed
 	// or a run may stand still: as often as workers renew their figures.
-	lookLeast = 500 * time.Millisecond
-	// lookSaving is the same where runs save their work: what the owner knows of it is as
+	minPollInterval = 500 * time.Millisecond
+	// checkpointPollInterval is the same where runs save their work: what the owner knows of it is as
 	// old when the worker is lost.
-	lookSaving = time.Second
-	// lookMost is as long as a worker waits, a third of the shortest lease.
-	lookMost = 2 * time.Second
+	checkpointPollInterval = time.Second
+	// maxPollInterval is as long as a worker waits, a third of the shortest lease.
+	maxPollInterval = 2 * time.Second
 )
 
 // LookWithin returns for how long a worker may wait for an end before it has to say how its
@@ -25,29 +25,29 @@
 func (c *Cell) LookWithin(id string) time.Duration {
 	w := c.workers[id]
 	if w == nil {
-		return lookLeast
+		return minPollInterval
 	}
-	wait := lookMost
-	if w.withheld > 0 {
-		wait = lookLeast
+	wait := maxPollInterval
+	if w.throttlePercent > 0 {
+		wait = minPollInterval
 	}
-	for _, r := range w.held {
-		wait = min(wait, r.lookWithin(w))
+	for _, r := range w.runList {
+		wait = min(wait, r.pollWithin(w))
 	}
-	return max(wait, lookLeast)
+	return max(wait, minPollInterval)
 }
 
-// lookWithin returns how long r, on w, may go without being looked at.
-func (r *run) lookWithin(w *worker) time.Duration {
+// pollWithin returns how long r, on w, may go without being looked at.
+func (r *run) pollWithin(w *worker) time.Duration {
 	def := r.stage.def
 	switch {
-	case def.TargetMS > 0 && w.fills > 0:
+	case def.TargetMS > 0 && w.fillerRuns > 0:
 		// Its answer times say how fast the runs that fill may work.
-		return lookLeast
+		return minPollInterval
 	case def.Lasting && r.percent >= 100:
-		return lookMost
+		return maxPollInterval
 	case def.Checkpoints:
-		return min(r.stallAfter(), lookSaving)
+		return min(r.stallAfter(), checkpointPollInterval)
 	}
 	return r.stallAfter()
 }
--- a/cell/loss.go
+++ b/cell/loss.go
@@ -53,18 +53,18 @@
 	return out
 }
 
-// lostWith returns what is told of a run that is lost with its worker.
-func (r *run) lostWith(how Loss, now time.Time) LostRun {
+// lostRun returns what is told of a run that is lost with its worker.
+func (r *run) lostRun(how Loss, now time.Time) LostRun {
 	l := LostRun{
-		Task: r.task(), Run: r.n, Worker: r.w.ID, Loss: how, Began: !r.confirmed.IsZero(),
-		Age: r.age(r.w.lostAt(now)), Beside: len(r.w.held) - 1, Leaving: r.w.leaving(),
+		Task: r.task(), Run: r.number, Worker: r.worker.ID, Loss: how, Began: !r.confirmedAt.IsZero(),
+		Age: r.age(r.worker.lostAt(now)), Beside: len(r.worker.runList) - 1, Leaving: r.worker.leaving(),
 	}
-	if r.stage.stray {
+	if r.stage.unknown {
 		return l
 	}
 	t := &r.stage.tasks[r.index]
 	l.Crashes = len(t.crashes)
-	if n := len(t.crashes); n > 0 && t.crashes[n-1].Run == r.n {
+	if n := len(t.crashes); n > 0 && t.crashes[n-1].Run == r.number {
 		l.Blame = t.crashes[n-1].Blame
 	}
 	return l
--- a/cell/over.go
+++ b/cell/over.go
@@ -18,8 +18,8 @@
 	Foreign bool
 }
 
-// over is what is remembered of a job that is over.
-type over struct {
+// retiredJob is what is remembered of a job that is retiredJob.
+type retiredJob struct {
 	state flow.State
 	// since is when the job was retired, after its end could be shown.
 	since   time.Time
@@ -45,7 +45,7 @@
 	if j := c.jobs[id]; j != nil {
 		j.archived = true
 		if j.state == flow.Succeeded {
-			j.shown = flow.Succeeded
+			j.storedState = flow.Succeeded
 		}
 	}
 }
@@ -55,11 +55,11 @@
 func (c *Cell) Retire(after time.Duration, now time.Time) []Over {
 	var out []Over
 	for id, j := range c.jobs {
-		if j.archived && j.shown == j.state && !j.marked && now.Sub(j.ended) > after {
+		if j.archived && j.storedState == j.state && !j.dirty && now.Sub(j.ended) > after {
 			out = append(out, Over{ID: id, State: j.state, Foreign: j.share.Foreign()})
 			// Clients can learn of the end only once it is archived: what an
 			// operator lets them ask for counts from then, whenever it ended.
-			c.over[id] = over{state: j.state, since: now, foreign: j.share.Foreign(), account: c.ownerOf(j)}
+			c.retired[id] = retiredJob{state: j.state, since: now, foreign: j.share.Foreign(), account: c.exclusiveAccount(j)}
 			delete(c.jobs, id)
 		}
 	}
@@ -87,7 +87,7 @@
 func (c *Cell) Foreign() []string {
 	var out []string
 	for id, j := range c.jobs {
-		if j.share.Foreign() && j.kept && !j.archived {
+		if j.share.Foreign() && j.stored && !j.archived {
 			out = append(out, id)
 		}
 	}
@@ -98,10 +98,10 @@
 // Expire forgets the jobs that are over for longer than keep and returns them.
 func (c *Cell) Expire(keep time.Duration, now time.Time) []Expired {
 	var out []Expired
-	for id, o := range c.over {
+	for id, o := range c.retired {
 		if age := now.Sub(o.since); age > keep {
 			out = append(out, Expired{ID: id, Age: age, Foreign: o.foreign})
-			delete(c.over, id)
+			delete(c.retired, id)
 		}
 	}
 	slices.SortFunc(out, func(a, b Expired) int { return strings.Compare(a.ID, b.ID) })
--- a/cell/pace.go
+++ b/cell/pace.go
@@ -10,16 +10,16 @@
 
 const (
 	// Tasks that fill are slowed down when the tail of a task that serves beside
-	// them is above paceHigh hundredths of its target, and let go on when it is
+	// them is above slowDownAbove hundredths of its target, and let go on when it is
 	// below paceLow.
-	paceHigh = 90
-	paceLow  = 65
-	// paceDown and paceUp are the steps, in hundredths of full speed: fast down,
+	slowDownAbove = 90
+	speedUpBelow  = 65
+	// slowDownStep and paceUp are the steps, in hundredths of full speed: fast down,
 	// slow up, each no sooner than the tail can show what the last one did.
-	paceDown      = 50
-	paceUp        = 20
-	paceDownEvery = 700 * time.Millisecond
-	paceUpEvery   = 2 * time.Second
+	slowDownStep     = 50
+	speedUpStep      = 20
+	slowDownInterval = 700 * time.Millisecond
+	speedUpInterval  = 2 * time.Second
 )
 
 // Pace sets how fast a run may work, in hundredths.
@@ -30,19 +30,19 @@
 	Percent      int
 }
 
-// paces decides how fast the runs that fill may work on each worker.
-func (c *Cell) paces(a *Actions, now time.Time) {
-	for _, w := range c.order {
-		if !w.attached || (w.fills == 0 && w.withheld == 0) {
+// decidePaces decides how fast the runs that fill may work on each worker.
+func (c *Cell) decidePaces(a *Actions, now time.Time) {
+	for _, w := range c.sortedWorkers {
+		if !w.attached || (w.fillerRuns == 0 && w.throttlePercent == 0) {
 			continue
 		}
 		w.setPace(now)
-		for _, r := range w.held {
-			if !r.stage.def.Fills || r.confirmed.IsZero() || r.stopping || r.withheld == w.withheld {
+		for _, r := range w.runList {
+			if !r.stage.def.Fills || r.confirmedAt.IsZero() || r.stopping || r.throttlePercent == w.throttlePercent {
 				continue
 			}
-			r.withheld = w.withheld
-			a.Paces = append(a.Paces, Pace{Worker: w.ID, Addr: w.Addr, Task: r.task(), Run: r.n, Percent: 100 - r.withheld})
+			r.throttlePercent = w.throttlePercent
+			a.Paces = append(a.Paces, Pace{Worker: w.ID, Addr: w.Addr, Task: r.task(), Run: r.number, Percent: 100 - r.throttlePercent})
 		}
 	}
 }
@@ -50,23 +50,23 @@
 // setPace follows the worst tail of the tasks that serve on w.
 func (w *worker) setPace(now time.Time) {
 	worst := w.worstTail()
-	since := now.Sub(w.paced)
+	since := now.Sub(w.pacedAt)
 	switch {
-	case worst > paceHigh && w.withheld < 100 && since >= paceDownEvery:
-		w.withheld = min(w.withheld+paceDown, 100)
-	case worst < paceLow && w.withheld > 0 && since >= paceUpEvery:
-		w.withheld = max(w.withheld-paceUp, 0)
+	case worst > slowDownAbove && w.throttlePercent < 100 && since >= slowDownInterval:
+		w.throttlePercent = min(w.throttlePercent+slowDownStep, 100)
+	case worst < speedUpBelow && w.throttlePercent > 0 && since >= speedUpInterval:
+		w.throttlePercent = max(w.throttlePercent-speedUpStep, 0)
 	default:
 		return
 	}
-	w.paced = now
+	w.pacedAt = now
 }
 
 // worstTail returns the highest tail of a task that serves, in hundredths of its
 // target; 0 if none serves.
 func (w *worker) worstTail() int64 {
 	var worst int64
-	for _, r := range w.held {
+	for _, r := range w.runList {
 		if target := r.stage.def.TargetMS; target > 0 {
 			worst = max(worst, r.tail*100/target)
 		}
--- a/cell/pace_test.go
+++ b/cell/pace_test.go
@@ -36,6 +36,6 @@
 		Expect(list(50, time.Second)).To(BeEmpty())
 		up := list(50, 2*time.Second)
 		Expect(up).To(HaveLen(1))
-		Expect(up[0].Percent).To(Equal(paceUp))
+		Expect(up[0].Percent).To(Equal(speedUpStep))
 	})
 })
--- a/cell/place.go
+++ b/cell/place.go
@@ -12,12 +12,12 @@
 )
 
 const (
-	// foresight is added to the time that advice takes when it is asked for
+	// adviceLead is added to the time that advice takes when it is asked for
 	// before its step opens.
-	foresight = 250 * time.Millisecond
-	// lookEvery spaces the looks over all runs, for those that stand still or have
+	adviceLead = 250 * time.Millisecond
+	// runCheckInterval spaces the looks over all runs, for those that stand still or have
 	// to leave. What somebody decided about a run is seen at once.
-	lookEvery = 50 * time.Millisecond
+	runCheckInterval = 50 * time.Millisecond
 )
 
 // Start is a run to start.
@@ -53,22 +53,22 @@
 // wall is the time of day, against which due times are held.
 func (c *Cell) Place(now, wall time.Time, asks int) Actions {
 	var a Actions
-	if c.restless || now.Sub(c.looked) >= lookEvery {
-		c.restless, c.looked = false, now
-		c.stops(&a, now)
-		c.paces(&a, now)
+	if c.runsNeedCheck || now.Sub(c.runsCheckedAt) >= runCheckInterval {
+		c.runsNeedCheck, c.runsCheckedAt = false, now
+		c.decideStops(&a, now)
+		c.decidePaces(&a, now)
 	}
-	c.tidy()
-	c.forgetEarly(now)
-	c.sort(now)
-	unsettled, most, inDoubt := c.unsettled(), c.mostFree(), c.inDoubt()
-	c.countMaybe(&unsettled, now)
+	c.pruneOpenStages()
+	c.expireUnmatchedEnds(now)
+	c.sortOpenStages(now)
+	unsettled, most, inDoubt := c.unsettled(), c.mostFree(), c.stagesInDoubt()
+	c.countPossiblyUsed(&unsettled, now)
 	c.countTrials(now)
-	c.sendLeft, c.heldBack, c.asksMost = c.sendMost, false, asks
-	for _, w := range c.order {
+	c.sendBudgetLeft, c.sendLimited, c.maxAsks = c.sendBudget, false, asks
+	for _, w := range c.sortedWorkers {
 		w.reserved = sched.Vec{}
 	}
-	for _, s := range c.open {
+	for _, s := range c.openStages {
 		q := c.queues[s.job.spec.Queue]
 		if q == nil || s.job.state.Final() {
 			continue
@@ -76,16 +76,16 @@
 		if !s.due.IsZero() && s.due.After(wall) {
 			continue
 		}
-		if s.waiting == 0 || s.before > 0 || !s.job.kept {
+		if s.waiting == 0 || s.pendingDeps > 0 || !s.job.stored {
 			c.askAhead(s, q, &a, asks, now)
-			s.moving = false
+			s.needsMove = false
 			continue
 		}
-		s.moving = false
-		if c.sendLeft <= 0 {
-			c.heldBack = true
+		s.needsMove = false
+		if c.sendBudgetLeft <= 0 {
+			c.sendLimited = true
 			c.askAhead(s, q, &a, asks, now)
-			c.tell(s, LinkFull, &a, now)
+			c.reportWait(s, LinkFull, &a, now)
 			continue
 		}
 		room := s.def.Room()
@@ -95,7 +95,7 @@
 			why = HeldUp
 		case inDoubt[s]:
 			why = InDoubt
-		case s.limited():
+		case s.accountAtLimit():
 			why = LimitReached
 		case s.def.Gang:
 			c.placeGang(s, q, &a, now)
@@ -104,11 +104,11 @@
 		default:
 			c.placeTasks(s, q, &a, now)
 		}
-		if s.waiting > 0 && c.sendLeft <= 0 {
-			c.heldBack = true
+		if s.waiting > 0 && c.sendBudgetLeft <= 0 {
+			c.sendLimited = true
 			why = LinkFull
 		}
-		if s.waiting > 0 && s.limited() {
+		if s.waiting > 0 && s.accountAtLimit() {
 			why = LimitReached
 		}
 		if s.waiting > 0 && why != HeldUp && why != LinkFull && why != LimitReached {
@@ -118,9 +118,9 @@
 		if s.waiting == 0 {
 			c.allStarted(s, q, &a, now)
 		} else {
-			s.waitsFor(c.whyWaits(s, why, now), now)
+			s.setWaitReason(c.waitReason(s, why, now), now)
 		}
-		c.tell(s, why, &a, now)
+		c.reportWait(s, why, &a, now)
 	}
 	c.askOldest(&a, asks, now)
 	return a
@@ -129,7 +129,7 @@
 // mostFree returns what no worker has more of to give.
 func (c *Cell) mostFree() sched.Vec {
 	var most sched.Vec
-	for _, w := range c.order {
+	for _, w := range c.sortedWorkers {
 		if !w.usable() {
 			continue
 		}
@@ -140,28 +140,28 @@
 	return most
 }
 
-// tidy forgets stages that have nothing left to place.
-func (c *Cell) tidy() {
-	c.open = slices.DeleteFunc(c.open, func(s *stage) bool {
-		return (s.waiting == 0 && !s.moving) || s.job.state.Final()
+// pruneOpenStages forgets stages that have nothing left to place.
+func (c *Cell) pruneOpenStages() {
+	c.openStages = slices.DeleteFunc(c.openStages, func(s *stage) bool {
+		return (s.waiting == 0 && !s.needsMove) || s.job.state.Final()
 	})
 }
 
-func (c *Cell) askLead(q *Queue) time.Duration {
+func (c *Cell) askLeadTime(q *Queue) time.Duration {
 	if q.Advice == nil {
 		return 0
 	}
-	return q.Advice.Decide + time.Duration(min(len(c.order), askLeast))*q.Advice.Each + foresight
+	return q.Advice.Decide + time.Duration(min(len(c.sortedWorkers), minAskWorkers))*q.Advice.Each + adviceLead
 }
 
 // opensWithin guesses whether the steps before s are done within d.
 func (c *Cell) opensWithin(s *stage, d time.Duration, now time.Time) bool {
 	for _, b := range s.def.After {
 		before := s.job.stage(s.time, b)
-		if before.left == 0 {
+		if before.tasksLeft == 0 {
 			continue
 		}
-		if before.waiting > 0 || before.before > 0 {
+		if before.waiting > 0 || before.pendingDeps > 0 {
 			return false
 		}
 		for i := range before.tasks {
@@ -178,14 +178,14 @@
 
 // remaining guesses how long r still runs.
 func (r *run) remaining(now time.Time) time.Duration {
-	if r.confirmed.IsZero() {
+	if r.confirmedAt.IsZero() {
 		return r.stage.def.Estimate()
 	}
-	ran := now.Sub(r.confirmed)
+	ran := now.Sub(r.confirmedAt)
 	if r.percent <= 0 || r.percent > 100 {
 		return max(r.stage.def.Estimate()-ran, 0)
 	}
-	until := r.progressed.Sub(r.confirmed)
+	until := r.lastProgress.Sub(r.confirmedAt)
 	whole := until * 100 / time.Duration(r.percent)
 	return max(whole-ran, 0)
 }
@@ -194,23 +194,23 @@
 // account before those beyond it, then by whether they can still be in time (0), count as late (1) or for nothing (2), then by the time that is
 // left beyond the work still to do.
 type rank struct {
-	priority int
-	beyond   bool
-	late     int
-	slack    time.Duration
+	priority    int
+	beyondShare bool
+	late        int
+	slack       time.Duration
 }
 
 func (c *Cell) rank(s *stage, now time.Time) rank {
 	q := c.queues[s.job.spec.Queue]
 	if q == nil {
-		return rank{priority: lastPriority}
+		return rank{priority: lowestPriority}
 	}
-	r := rank{priority: q.Priority, beyond: s.job.beyond}
+	r := rank{priority: q.Priority, beyondShare: s.job.beyondShare}
 	if s.def.Lasting {
-		r.slack = s.waitSince.Sub(now)
+		r.slack = s.waitingSince.Sub(now)
 		return r
 	}
-	objective := q.Target + time.Duration(q.Stretch*float64(s.job.longest))
+	objective := q.Target + time.Duration(q.Stretch*float64(s.job.longestChain))
 	r.slack = objective - now.Sub(s.job.arrived) - s.chain
 	switch {
 	case r.slack >= -q.Target:
@@ -222,20 +222,20 @@
 	return r
 }
 
-const lastPriority = 1 << 30
+const lowestPriority = 1 << 30
 
-// sort orders the open stages. Each is ranked once.
-func (c *Cell) sort(now time.Time) {
-	for _, s := range c.open {
+// sortOpenStages orders the open stages. Each is ranked once.
+func (c *Cell) sortOpenStages(now time.Time) {
+	for _, s := range c.openStages {
 		s.rank = c.rank(s, now)
 	}
-	slices.SortStableFunc(c.open, compare)
+	slices.SortStableFunc(c.openStages, compareStages)
 }
 
-func compare(x, y *stage) int {
+func compareStages(x, y *stage) int {
 	return cmp.Or(
 		cmp.Compare(x.rank.priority, y.rank.priority),
-		compareBools(x.rank.beyond, y.rank.beyond),
+		compareBools(x.rank.beyondShare, y.rank.beyondShare),
 		cmp.Compare(x.rank.late, y.rank.late),
 		cmp.Compare(x.rank.slack, y.rank.slack),
 		cmp.Compare(x.job.spec.ID, y.job.spec.ID),
@@ -259,7 +259,7 @@
 	c.chooseHall(s, q, now)
 	if s.def.Lasting {
 		// Others rely on a task that was at work before: it comes back first.
-		c.placeWhere(s, q, a, now, func(t *task) bool { return t.state == taskWaiting && t.last > 0 })
+		c.placeWhere(s, q, a, now, func(t *task) bool { return t.state == taskWaiting && t.lastRun > 0 })
 	}
 	c.placeWhere(s, q, a, now, func(t *task) bool { return t.state == taskWaiting })
 }
@@ -271,21 +271,21 @@
 		if !which(t) || !c.mayTry(s, i, now) {
 			continue
 		}
-		if c.sendLeft <= 0 || s.limited() {
+		if c.sendBudgetLeft <= 0 || s.accountAtLimit() {
 			return
 		}
 		w, ticket := c.choose(s, t, q, now)
 		if w == nil {
-			if len(t.avoid) == 0 && !s.onTrial(t) {
+			if len(t.avoid) == 0 && !s.needsTrial(t) {
 				return
 			}
 			continue
 		}
-		if !c.mayStart(s, w.Hall) {
+		if !c.mayStartIn(s, w.Hall) {
 			return
 		}
-		t.last++
-		a.Starts = append(a.Starts, c.begin(s, i, w, t.last, ticket, now))
+		t.lastRun++
+		a.Starts = append(a.Starts, c.startRun(s, i, w, t.lastRun, ticket, now))
 	}
 }
 
@@ -307,20 +307,20 @@
 	if !ok {
 		return
 	}
-	n, saved := s.gangLast, ""
+	n, saved := s.gangLastRun, ""
 	for i := range s.tasks {
-		n = max(n, s.tasks[i].last)
-		if s.tasks[i].saved != "" {
-			saved = s.tasks[i].saved
+		n = max(n, s.tasks[i].lastRun)
+		if s.tasks[i].checkpoint != "" {
+			saved = s.tasks[i].checkpoint
 		}
 	}
 	n++
 	for i, p := range picks {
 		t := &s.tasks[i]
-		t.saved, t.last = saved, n
-		a.Starts = append(a.Starts, c.begin(s, i, p.worker, n, p.ticket, now))
+		t.checkpoint, t.lastRun = saved, n
+		a.Starts = append(a.Starts, c.startRun(s, i, p.worker, n, p.ticket, now))
 	}
-	s.gangLast = n
+	s.gangLastRun = n
 }
 
 // pickGang chooses the workers for all tasks of s. It reports whether each has one
@@ -331,79 +331,79 @@
 	defer func() {
 		for _, p := range picks {
 			p.worker.free = p.worker.free.Add(room)
-			s.onWorker(p.worker, -1)
+			s.countRunOn(p.worker, -1)
 		}
 	}()
 	for i := range s.tasks {
 		w, ticket := c.choose(s, &s.tasks[i], q, now)
-		if w == nil || !c.mayStart(s, w.Hall) {
+		if w == nil || !c.mayStartIn(s, w.Hall) {
 			return nil, false
 		}
 		w.free = w.free.Sub(room)
-		s.onWorker(w, 1)
+		s.countRunOn(w, 1)
 		picks = append(picks, pick{w, ticket})
 	}
 	return picks, true
 }
 
-// begin puts a run on the books.
-func (c *Cell) begin(s *stage, index int, w *worker, n int, ticket string, now time.Time) Start {
+// startRun puts a run on the books.
+func (c *Cell) startRun(s *stage, index int, w *worker, n int, ticket string, now time.Time) Start {
 	t := &s.tasks[index]
 	s.setWaiting(t, false)
 	t.state = taskActive
-	r := &run{stage: s, index: index, n: n + c.firstRun, w: w, decided: now, taken: s.def.Room(), saved: t.saved}
+	r := &run{stage: s, index: index, number: n + c.runBase, worker: w, decidedAt: now, taken: s.def.Room(), checkpoint: t.checkpoint}
 	t.runs = append(t.runs, r)
-	w.hold(r)
-	s.onWorker(w, 1)
-	c.try(r, now)
-	if s.job.story.Runs == 0 {
-		s.job.story.Began = now.Sub(s.job.arrived)
+	w.addRun(r)
+	s.countRunOn(w, 1)
+	c.startTrialIfNeeded(r, now)
+	if s.job.history.Runs == 0 {
+		s.job.history.Began = now.Sub(s.job.arrived)
 	}
-	s.job.story.Runs++
+	s.job.history.Runs++
 	c.counts.Started++
-	c.note(r, RunOrdered)
+	c.noteChange(r, RunOrdered)
 	start := Start{
-		Worker: w.ID, Addr: w.Addr, Task: r.task(), Run: r.n,
-		Text: s.job.spec.Text, Saved: t.saved, Ticket: ticket,
+		Worker: w.ID, Addr: w.Addr, Task: r.task(), Run: r.number,
+		Text: s.job.spec.Text, Saved: t.checkpoint, Ticket: ticket,
 	}
-	c.sendLeft -= c.sendSize(&start)
+	c.sendBudgetLeft -= c.sendSize(&start)
 	return start
 }
 
-// startOverhead is about how many bytes an order to start a run has on the wire beside its
+// startOverheadBytes is about how many bytes an order to start a run has on the wire beside its
 // texts: names, fences and headers.
-const startOverhead = 450
+const startOverheadBytes = 450
 
 // Size returns about how many bytes the order has on the wire.
-func (s *Start) Size() int { return startOverhead + len(s.Text) + len(s.Saved) + len(s.Ticket) }
+func (s *Start) Size() int { return startOverheadBytes + len(s.Text) + len(s.Saved) + len(s.Ticket) }
 
 // sendSize returns about how many bytes a start takes of this instance's link.
 func (c *Cell) sendSize(start *Start) int {
-	if c.sendShared {
+	if c.textShared {
 		return start.CarriedSize()
 	}
 	return start.Size()
 }
 
 const (
-	// carriedOverhead is about how many bytes an order has in the message to the instance
+	// carriedOverheadBytes is about how many bytes an order has in the message to the instance
 	// that carries it beside its texts.
-	carriedOverhead = 100
-	// textShared is how many starts share a text that one instance was given: as many as a
+	carriedOverheadBytes = 100
+	// startsPerText is how many starts share a text that one instance was given: as many as a
 	// job has tasks on average, over the few instances that carry them.
-	textShared = 8
+	startsPerText = 8
 )
 
 // CarriedSize returns about how many bytes the order takes where another instance carries it.
 func (s *Start) CarriedSize() int {
-	return carriedOverhead + len(s.Text)/textShared + len(s.Saved) + len(s.Ticket)
+	return carriedOverheadBytes + len(s.Text)/startsPerText + len(s.Saved) + len(s.Ticket)
 }
 
 // SendMost says how many bytes the orders of the next decision may have, and whether those of
 // a step share their text. Starts that would only wait at this instance's own link are not
 // decided, so that the most urgent goes first whenever there is room to send, and no answer
 // is late for that wait. A gang goes whole.
-func (c *Cell) SendMost(bytes int, shared bool) { c.sendMost, c.sendShared = bytes, shared }
+func (c *Cell) SendMost(bytes int, shared bool) { c.sendBudget, c.textShared = bytes, shared }
 
 // HeldBack reports whether the last decision left out starts for want of room to send.
-func (c *Cell) HeldBack() bool { return c.heldBack }
+func (c *Cell) HeldBack() bool { return c.sendLimited }
--- a/cell/replay_test.go
+++ b/cell/replay_test.go
@@ -359,7 +359,7 @@
 func (j *replayJob) objective() time.Duration {
 	d := j.queue.Target + time.Duration(j.queue.Stretch*float64(len(j.spec.Steps))*float64(j.work))
 	if a := j.queue.Advice; a != nil {
-		d += a.Decide + askLeast*a.Each
+		d += a.Decide + minAskWorkers*a.Each
 	}
 	return d
 }
--- a/cell/reserve.go
+++ b/cell/reserve.go
@@ -18,31 +18,31 @@
 // less urgent queues that can go on where they stopped yield.
 
 const (
-	// largeFew is how many tasks of a step an empty worker holds at most for them to be
+	// maxLargePerWorker is how many tasks of a step an empty worker holds at most for them to be
 	// large. Smaller ones find room soon, as often as a task of any kind ends;
 	// reservations for gangs of small tasks, tried, made the calls beside them late.
-	largeFew = 2
-	// reserveEvery spaces the choices of workers for one step: as often as a driver decides
+	maxLargePerWorker = 2
+	// reserveInterval spaces the choices of workers for one step: as often as a driver decides
 	// when nothing happens.
-	reserveEvery = 100 * time.Millisecond
-	// reserveStays is how much sooner another worker must be free for a reservation to
+	reserveInterval = 100 * time.Millisecond
+	// reserveSwitchGain is how much sooner another worker must be free for a reservation to
 	// move there.
-	reserveStays = 300 * time.Millisecond
-	// yieldWait is how long room that comes free by itself is waited for. A task that
+	reserveSwitchGain = 300 * time.Millisecond
+	// minYieldGain is how long room that comes free by itself is waited for. A task that
 	// yields has to be stopped and to read its checkpoint, which takes about as long.
-	yieldWait = 500 * time.Millisecond
-	// yieldMost is how often one task may be made to yield.
-	yieldMost = 2
-	// stopTakes is about how long it takes until the room of a run that is stopped is
+	minYieldGain = 500 * time.Millisecond
+	// maxYields is how often one task may be made to yield.
+	maxYields = 2
+	// stopDuration is about how long it takes until the room of a run that is stopped is
 	// free: half of the longest that workers take for a stop.
-	stopTakes = 250 * time.Millisecond
+	stopDuration = 250 * time.Millisecond
 )
 
 // reservation is the room that is held for a step until its tasks can start there: how
 // many tasks on each.
 type reservation struct {
-	workers map[*worker]int
-	chosen  time.Time
+	workers  map[*worker]int
+	chosenAt time.Time
 }
 
 // offer is what a worker could do for a step.
@@ -58,20 +58,20 @@
 	if !c.large(s, q) {
 		return
 	}
-	if now.Sub(s.reserved.chosen) >= reserveEvery || !s.reservationHolds() {
-		s.reserved = c.newReservation(s, q, now)
+	if now.Sub(s.reservation.chosenAt) >= reserveInterval || !s.reservationHolds() {
+		s.reservation = c.newReservation(s, q, now)
 		c.yieldFor(s, q, now)
 	}
 	room := s.def.Room()
-	for w, n := range s.reserved.workers {
+	for w, n := range s.reservation.workers {
 		w.reserved = w.reserved.Add(room.Scale(int64(n)))
 	}
 }
 
 // large reports whether the tasks of s are large for all workers that may run it.
 func (c *Cell) large(s *stage, q *Queue) bool {
-	few := s.def.Room().Scale(largeFew + 1)
-	for _, w := range c.order {
+	few := s.def.Room().Scale(maxLargePerWorker + 1)
+	for _, w := range c.sortedWorkers {
 		if w.Room.Covers(&few) && w.suits(s, q) {
 			return false
 		}
@@ -82,7 +82,7 @@
 // reservationHolds reports whether all workers of the reservation can still be given
 // something.
 func (s *stage) reservationHolds() bool {
-	for w := range s.reserved.workers {
+	for w := range s.reservation.workers {
 		if !w.usable() {
 			return false
 		}
@@ -96,8 +96,8 @@
 	var offers []offer
 	for _, w := range c.mayRun(s, q) {
 		if o := c.offer(w, s, q, now); o.tasks > 0 {
-			if s.reserved.workers[w] > 0 {
-				o.wait -= reserveStays
+			if s.reservation.workers[w] > 0 {
+				o.wait -= reserveSwitchGain
 			}
 			offers = append(offers, o)
 		}
@@ -105,7 +105,7 @@
 	slices.SortStableFunc(offers, func(a, b offer) int {
 		return cmp.Or(cmp.Compare(a.wait, b.wait), cmp.Compare(b.tasks, a.tasks))
 	})
-	out := reservation{workers: make(map[*worker]int), chosen: now}
+	out := reservation{workers: make(map[*worker]int), chosenAt: now}
 	left := s.waiting
 	for _, o := range offers {
 		n := min(o.tasks, left)
@@ -115,7 +115,7 @@
 		}
 	}
 	if s.def.Gang {
-		return reservation{chosen: now}
+		return reservation{chosenAt: now}
 	}
 	return out
 }
@@ -125,9 +125,9 @@
 func (c *Cell) mayRun(s *stage, q *Queue) []*worker {
 	var out []*worker
 	if q.Advice == nil {
-		out = slices.Clone(c.order)
+		out = slices.Clone(c.sortedWorkers)
 	}
-	for _, t := range s.advice.good {
+	for _, t := range s.advice.tickets {
 		out = append(out, t.worker)
 	}
 	return slices.DeleteFunc(out, func(w *worker) bool { return !w.usable() || !w.suits(s, q) })
@@ -139,16 +139,16 @@
 	o := offer{worker: w}
 	room := s.def.Room()
 	most := w.Room.Sub(w.reserved)
-	for o.tasks < s.waiting && most.Covers(&room) && (s.def.PerWorker == 0 || s.carried[w]+o.tasks < s.def.PerWorker) {
+	for o.tasks < s.waiting && most.Covers(&room) && (s.def.PerWorker == 0 || s.runsByWorker[w]+o.tasks < s.def.PerWorker) {
 		most = most.Sub(room)
 		o.tasks++
 	}
 	if o.tasks == 0 || !w.health.allows(0, now) {
 		return offer{}
 	}
-	ends := slices.Clone(w.held)
+	ends := slices.Clone(w.runList)
 	slices.SortStableFunc(ends, func(a, b *run) int {
-		return cmp.Compare(c.frees(a, q, now), c.frees(b, q, now))
+		return cmp.Compare(c.timeUntilFree(a, q, now), c.timeUntilFree(b, q, now))
 	})
 	need := room.Scale(int64(o.tasks))
 	free := w.free.Sub(w.reserved)
@@ -157,25 +157,25 @@
 			break
 		}
 		free = free.Add(r.taken)
-		o.wait = c.frees(r, q, now)
+		o.wait = c.timeUntilFree(r, q, now)
 	}
-	if !free.Covers(&need) || o.wait >= never {
+	if !free.Covers(&need) || o.wait >= neverFrees {
 		return offer{}
 	}
 	return o
 }
 
-// never is how long a task that lasts runs on.
-const never = time.Hour
+// neverFrees is how long a task that lasts runs on.
+const neverFrees = time.Hour
 
-// frees guesses how long until the room of r is free for a task of queue q.
-func (c *Cell) frees(r *run, q *Queue, now time.Time) time.Duration {
+// timeUntilFree guesses how long until the room of r is free for a task of queue q.
+func (c *Cell) timeUntilFree(r *run, q *Queue, now time.Time) time.Duration {
 	if r.stage.def.Lasting {
-		return never
+		return neverFrees
 	}
 	left := r.remaining(now)
 	if r.stopping || c.mayYield(r, q) {
-		return min(left, stopTakes)
+		return min(left, stopDuration)
 	}
 	return left
 }
@@ -184,18 +184,18 @@
 // less urgent, and it goes on where it stopped.
 func (c *Cell) mayYield(r *run, q *Queue) bool {
 	s := r.stage
-	if s.stray || !s.def.Checkpoints || s.def.Gang || s.def.Lasting || s.def.Copies || r.confirmed.IsZero() {
+	if s.unknown || !s.def.Checkpoints || s.def.Gang || s.def.Lasting || s.def.Copies || r.confirmedAt.IsZero() {
 		return false
 	}
 	own := c.queues[s.job.spec.Queue]
-	return own != nil && own.Priority > q.Priority && s.tasks[r.index].yields < yieldMost
+	return own != nil && own.Priority > q.Priority && s.tasks[r.index].yieldCount < maxYields
 }
 
 // yieldFor stops tasks so that the room reserved for s comes free, those with the most left to do
 // first, where waiting for their ends would take long.
 func (c *Cell) yieldFor(s *stage, q *Queue, now time.Time) {
 	room := s.def.Room()
-	for w, n := range s.reserved.workers {
+	for w, n := range s.reservation.workers {
 		need := room.Scale(int64(n))
 		c.yield(w, need, s, q, now)
 	}
@@ -204,9 +204,9 @@
 func (c *Cell) yield(w *worker, need sched.Vec, s *stage, q *Queue, now time.Time) {
 	free := w.free.Sub(w.reserved)
 	var may []*run
-	for _, r := range w.held {
+	for _, r := range w.runList {
 		switch {
-		case r.stopping || r.remaining(now) <= yieldWait:
+		case r.stopping || r.remaining(now) <= minYieldGain:
 			free = free.Add(r.taken)
 		case c.mayYield(r, q):
 			may = append(may, r)
@@ -217,19 +217,19 @@
 		if free.Covers(&need) {
 			return
 		}
-		if !helps(&free, &need, &r.taken) {
+		if !fillsShortage(&free, &need, &r.taken) {
 			continue
 		}
 		free = free.Add(r.taken)
 		r.stopping, r.stopSent = true, time.Time{}
-		r.stage.tasks[r.index].yields++
-		r.stage.job.story.Yields++
-		c.restless = true
+		r.stage.tasks[r.index].yieldCount++
+		r.stage.job.history.Yields++
+		c.runsNeedCheck = true
 	}
 }
 
-// helps reports whether taken has something of what free lacks of need.
-func helps(free, need, taken *sched.Vec) bool {
+// fillsShortage reports whether taken has something of what free lacks of need.
+func fillsShortage(free, need, taken *sched.Vec) bool {
 	for d := range need {
 		if need[d] > free[d] && taken[d] > 0 {
 			return true
--- a/cell/reserve_test.go
+++ b/cell/reserve_test.go
@@ -57,18 +57,18 @@
 		for _, s := range starts {
 			r.Listed(s.Worker, Lists{Running: []Running{{Task: s.Task, Run: s.Run, Percent: 50}}, Cut: true}, r.now, r.now)
 		}
-		r.now = r.now.Add(estimate*time.Millisecond - yieldWait)
+		r.now = r.now.Add(estimate*time.Millisecond - minYieldGain)
 		submit(r, "b", "q", large)
 		Expect(r.place().Stops).To(BeEmpty())
 	})
 
 	It("lets a task yield twice and no more", func() {
 		r, starts := full("later", flow.Step{Count: 1, Demand: demand(4000), Checkpoints: true})
-		for i := range yieldMost + 1 {
+		for i := range maxYields + 1 {
 			id := string(rune('b' + i))
 			submit(r, id, "q", large)
 			stops := r.place().Stops
-			if i == yieldMost {
+			if i == maxYields {
 				Expect(stops).To(BeEmpty())
 				return
 			}
--- a/cell/room_test.go
+++ b/cell/room_test.go
@@ -46,10 +46,10 @@
 	g.Expect(starts).To(HaveLen(8))
 	r.add("large", flow.Step{Count: 1, Demand: demand(3000), EstimateMS: 1000})
 	g.Expect(r.startAll()).To(BeEmpty())
-	for w := range r.jobs["large"].stages[0].reserved.workers {
+	for w := range r.jobs["large"].stages[0].reservation.workers {
 		r.heard(w.ID, func(w *Worker) { w.Room = vec(1000, 8000) })
 	}
-	r.now = r.now.Add(reserveEvery)
+	r.now = r.now.Add(reserveInterval)
 	for _, s := range starts {
 		r.end(s, flow.EndDone)
 	}
--- a/cell/save.go
+++ b/cell/save.go
@@ -37,12 +37,12 @@
 	n := min(limit, len(c.dirty))
 	saves := make([]Save, 0, n)
 	for _, j := range c.dirty[:n] {
-		j.marked = false
-		saves = append(saves, Save{ID: j.spec.ID, Record: j.record(), Story: j.story, Foreign: j.share.Foreign()})
+		j.dirty = false
+		saves = append(saves, Save{ID: j.spec.ID, Record: j.record(), Story: j.history, Foreign: j.share.Foreign()})
 	}
 	c.dirty = append(c.dirty[:0], c.dirty[n:]...)
 	if len(c.dirty) == 0 {
-		c.mayForget()
+		c.setSavingEnds()
 	}
 	return saves
 }
@@ -59,41 +59,41 @@
 			continue
 		}
 		if !ok {
-			c.mark(j)
+			c.markDirty(j)
 			continue
 		}
-		if !j.shown.Final() {
-			j.shown = s.Record.State
+		if !j.storedState.Final() {
+			j.storedState = s.Record.State
 		}
-		j.openedBy(s.Record)
+		j.applyStored(s.Record)
 	}
-	for _, w := range c.order {
+	for _, w := range c.sortedWorkers {
 		if ok {
-			w.observed = max(w.observed, w.saving)
+			w.observedEnd = max(w.observedEnd, w.savingEnd)
 		}
-		w.saving = w.observed
+		w.savingEnd = w.observedEnd
 	}
 }
 
-// openedBy takes in which halls the store knows to be open to each stage.
-func (j *job) openedBy(rec *flow.Record) {
+// applyStored takes in which halls the store knows to be open to each stage.
+func (j *job) applyStored(rec *flow.Record) {
 	for at, s := range j.stages {
 		if at < len(rec.Stages) {
-			s.crashesKept(rec.Stages[at].Crashes)
-			s.halls = rec.Stages[at].Halls
-			s.opening = slices.DeleteFunc(s.opening, func(h string) bool { return slices.Contains(s.halls, h) })
+			s.countStoredCrashes(rec.Stages[at].Crashes)
+			s.storedHalls = rec.Stages[at].Halls
+			s.hallsToStore = slices.DeleteFunc(s.hallsToStore, func(h string) bool { return slices.Contains(s.storedHalls, h) })
 		}
 	}
 }
 
-// crashesKept takes in what the store has of the losses held against tasks.
-func (s *stage) crashesKept(kept map[int][]flow.Crash) {
+// countStoredCrashes takes in what the store has of the losses held against tasks.
+func (s *stage) countStoredCrashes(kept map[int][]flow.Crash) {
 	for i := range s.tasks {
 		t := &s.tasks[i]
-		t.crashesKept = 0
+		t.storedCrashes = 0
 		for _, c := range t.crashes {
 			if slices.ContainsFunc(kept[i], func(o flow.Crash) bool { return o.Run == c.Run }) {
-				t.crashesKept++
+				t.storedCrashes++
 			}
 		}
 	}
@@ -110,30 +110,30 @@
 	r.Stages = make([]flow.StageRecord, len(j.stages))
 	for at, s := range j.stages {
 		out := &r.Stages[at]
-		out.Halls = slices.Concat(s.halls, s.opening)
+		out.Halls = slices.Concat(s.storedHalls, s.hallsToStore)
 		for i := range s.tasks {
 			t := &s.tasks[i]
 			if t.state == taskDone {
 				out.Done.Set(i)
 				continue
 			}
-			if len(t.fails) > 0 && !s.def.Lasting {
+			if len(t.failedRuns) > 0 && !s.def.Lasting {
 				if out.Fails == nil {
 					out.Fails = make(map[int][]int)
 				}
-				out.Fails[i] = t.fails
+				out.Fails[i] = t.failedRuns
 			}
-			if t.toKeep() {
+			if t.crashesMustBeStored() {
 				if out.Crashes == nil {
 					out.Crashes = make(map[int][]flow.Crash)
 				}
 				out.Crashes[i] = slices.Clone(t.crashes)
 			}
-			if t.state == taskWaiting && t.saved != "" {
+			if t.state == taskWaiting && t.checkpoint != "" {
 				if out.Saved == nil {
 					out.Saved = make(map[int]string)
 				}
-				out.Saved[i] = t.saved
+				out.Saved[i] = t.checkpoint
 			}
 		}
 	}
--- a/cell/seek_test.go
+++ b/cell/seek_test.go
@@ -31,9 +31,9 @@
 	r.Unsure(first[0].Worker, r.now)
 	over := r.now.Add(lease)
 	r.LeaseEnds(first[0].Worker, over)
-	r.now = over.Add(-seekLead - 100*time.Millisecond)
+	r.now = over.Add(-leaseEndLead - 100*time.Millisecond)
 	g.Expect(r.place().Asks).To(BeEmpty(), "the worker may come back")
-	r.now = over.Add(-seekLead)
+	r.now = over.Add(-leaseEndLead)
 	asks := r.place().Asks
 	g.Expect(asks).To(HaveLen(1), "calls are not asked about ahead")
 	g.Expect(asks[0].Step.Job).To(Equal("j"))
--- a/cell/share_test.go
+++ b/cell/share_test.go
@@ -71,8 +71,8 @@
 func (c *cells) running() []int {
 	var out []int
 	for _, one := range c.all {
-		for _, w := range one.order {
-			for _, r := range w.held {
+		for _, w := range one.sortedWorkers {
+			for _, r := range w.runList {
 				out = append(out, r.index)
 			}
 		}
@@ -145,13 +145,13 @@
 		submit(c, wide("cell-1", "cell-2"))
 		c.play(10 * time.Second)
 		one := c.all[2]
-		for _, w := range one.order {
-			for _, r := range w.held {
-				one.Listed(w.ID, Lists{Running: []Running{{Task: r.task(), Run: r.n, Percent: 100}}, Cut: true}, c.now, c.now)
-				w.Draining, w.Remaining, w.heard = true, time.Minute, c.now
+		for _, w := range one.sortedWorkers {
+			for _, r := range w.runList {
+				one.Listed(w.ID, Lists{Running: []Running{{Task: r.task(), Run: r.number, Percent: 100}}, Cut: true}, c.now, c.now)
+				w.Draining, w.Remaining, w.lastHeard = true, time.Minute, c.now
 			}
 		}
-		one.restless = true
+		one.runsNeedCheck = true
 		Expect(one.Place(c.now, c.now, 0).Stops).To(HaveLen(2), "a third of 7")
 	})
 })
--- a/cell/trial_test.go
+++ b/cell/trial_test.go
@@ -22,7 +22,7 @@
 	g.Expect(trial).To(HaveLen(1))
 	r.add("k", flow.Step{Count: 1, Demand: demand(1000)})
 	g.Expect(r.startAll()).To(BeEmpty(), "the only worker that is left is watched")
-	r.now = r.now.Add(watchLeast + lookEvery)
+	r.now = r.now.Add(minTrialWatch + runCheckInterval)
 	g.Expect(r.startAll()).To(HaveLen(1))
 }
 
@@ -86,7 +86,7 @@
 	r.add("j", flow.Step{Count: 1, Demand: demand(1000)})
 	r.startAll()
 	s := r.jobs["j"].stages[0]
-	s.blamed = hungUpMost
+	s.blamedLosses = maxWorkersInDoubt
 	s.tasks[0].crashes = []flow.Crash{{Run: 1, Blame: flow.BlameBeside}}
 	r.now = r.now.Add(time.Second)
 	r.Listed("w0", Lists{}, r.now, r.now)
@@ -106,7 +106,7 @@
 	s.length = lasts
 	s.add("j", flow.Step{Count: 1, Demand: demand(1000), Lasting: true})
 	for range 5 {
-		s.run(clearedAfter + 2*time.Second)
+		s.run(crashClearTime + 2*time.Second)
 		task := flow.TaskID{Job: "j"}
 		for _, p := range s.places {
 			if len(p.runs) > 0 && p.runs[0].Task == task {
--- a/cell/unkept.go
+++ b/cell/unkept.go
@@ -17,24 +17,24 @@
 // failure or a cancel is a decision, which the store keeps first.
 
 const (
-	// unkeptLeast is how long the store may take to keep an end before others are told of
+	// minUnstoredAge is how long the store may take to keep an end before others are told of
 	// it: several times as long as it takes when all is well, some 20 ms.
-	unkeptLeast = 100 * time.Millisecond
-	// unkeptMost is for how long after its end others are told of a job again and again;
+	minUnstoredAge = 100 * time.Millisecond
+	// maxUnstoredAge is for how long after its end others are told of a job again and again;
 	// longer only if none is known to have heard it.
-	unkeptMost = 1200 * time.Millisecond
+	maxUnstoredAge = 1200 * time.Millisecond
 )
 
 // Unkept returns jobs that have succeeded and of which the store does not know yet, at the
 // most so many, by id: those that other instances should be told of now.
 func (c *Cell) Unkept(most int, now time.Time) []string {
 	var out []string
-	for id, j := range c.unkept {
+	for id, j := range c.unstoredSuccesses {
 		age := now.Sub(j.ended)
 		switch {
-		case j.shown.Final():
-			delete(c.unkept, id)
-		case age >= unkeptLeast && (age < unkeptMost || !j.shared):
+		case j.storedState.Final():
+			delete(c.unstoredSuccesses, id)
+		case age >= minUnstoredAge && (age < maxUnstoredAge || !j.successShared):
 			out = append(out, id)
 		}
 	}
@@ -45,8 +45,8 @@
 // Shared says that another instance knows that these jobs have succeeded.
 func (c *Cell) Shared(ids []string) {
 	for _, id := range ids {
-		if j := c.unkept[id]; j != nil {
-			j.shared = true
+		if j := c.unstoredSuccesses[id]; j != nil {
+			j.successShared = true
 		}
 	}
 }
@@ -59,7 +59,7 @@
 		if j == nil || j.state.Final() {
 			continue
 		}
-		j.shared = true
+		j.successShared = true
 		c.finish(j, flow.Succeeded, now)
 	}
 }
--- a/cell/unkept_test.go
+++ b/cell/unkept_test.go
@@ -30,7 +30,7 @@
 	It("is told to others when the store takes longer than usual, and shown once one knows", func() {
 		r := ended(flow.EndDone)
 		Expect(r.Unkept(10, r.now)).To(BeEmpty(), "the store will have it in a moment")
-		late := r.now.Add(unkeptLeast)
+		late := r.now.Add(minUnstoredAge)
 		Expect(r.Unkept(10, late)).To(Equal([]string{"j"}))
 		Expect(r.Unkept(0, late)).To(BeEmpty())
 		Expect(state(r)).To(Equal(flow.Running), "nobody else knows")
@@ -40,7 +40,7 @@
 
 	It("is told for a while, and on until somebody knows", func() {
 		r := ended(flow.EndDone)
-		late := r.now.Add(unkeptMost)
+		late := r.now.Add(maxUnstoredAge)
 		Expect(r.Unkept(10, late)).To(HaveLen(1))
 		r.Shared([]string{"j"})
 		Expect(r.Unkept(10, late)).To(BeEmpty())
@@ -50,8 +50,8 @@
 	It("is told no more once the store has it", func() {
 		r := ended(flow.EndDone)
 		r.save()
-		Expect(r.Unkept(10, r.now.Add(unkeptLeast))).To(BeEmpty())
-		Expect(r.unkept).To(BeEmpty())
+		Expect(r.Unkept(10, r.now.Add(minUnstoredAge))).To(BeEmpty())
+		Expect(r.unstoredSuccesses).To(BeEmpty())
 	})
 
 	It("is not shown where it is a decision: a cancel", func() {
--- a/cell/unknown_test.go
+++ b/cell/unknown_test.go
@@ -93,7 +93,7 @@
 	r := newRig(0)
 	r.heard("w0", func(*Worker) {})
 	r.Attached("w0", Lists{Finished: []Finished{{Number: 1, Task: flow.TaskID{Job: "j"}, Run: 8193, How: flow.EndDone}}}, r.now)
-	r.now = r.now.Add(earlyKept + time.Second)
+	r.now = r.now.Add(unmatchedEndRetention + time.Second)
 	r.place()
 	r.save()
 	g.Expect(r.Observed("w0")).To(Equal(1))
--- a/cell/wait.go
+++ b/cell/wait.go
@@ -8,9 +8,9 @@
 	"dewpass.org/flow"
 )
 
-// tellEvery is how long a step has waited when it is told of, and spaces what is
+// waitReportInterval is how long a step has waited when it is told of, and spaces what is
 // told of one step.
-const tellEvery = 5 * time.Second
+const waitReportInterval = 5 * time.Second
 
 // Why says what a step waits for.
 type Why string
@@ -65,19 +65,19 @@
 	All, Room, Yield int
 }
 
-// tell adds a stage to what is told if it has waited for long.
-func (c *Cell) tell(s *stage, why Why, a *Actions, now time.Time) {
-	waited := now.Sub(s.waitSince)
-	if s.waiting == 0 || waited < tellEvery || now.Sub(s.told) < tellEvery {
+// reportWait adds a stage to what is told if it has waited for long.
+func (c *Cell) reportWait(s *stage, why Why, a *Actions, now time.Time) {
+	waited := now.Sub(s.waitingSince)
+	if s.waiting == 0 || waited < waitReportInterval || now.Sub(s.reportedAt) < waitReportInterval {
 		return
 	}
-	s.told = now
+	s.reportedAt = now
 	if why == NoWorker {
-		why = c.whyNone(s, now)
+		why = c.noWorkerReason(s, now)
 	}
-	w := Wait{Step: s.id(), Why: why, Tasks: s.waiting, For: waited, Reserved: len(s.reserved.workers),
-		Asks: c.asks, LongAsks: c.longAsks, AsksMost: c.asksMost, Asking: s.advice.asking,
-		Account: s.job.account.use(), Beyond: s.job.beyond}
+	w := Wait{Step: s.id(), Why: why, Tasks: s.waiting, For: waited, Reserved: len(s.reservation.workers),
+		Asks: c.asks, LongAsks: c.longAsks, AsksMost: c.maxAsks, Asking: s.advice.asking,
+		Account: s.job.account.usage(), Beyond: s.job.beyondShare}
 	c.countCandidates(s, &w, now)
 	a.Waits = append(a.Waits, w)
 }
@@ -85,13 +85,13 @@
 // countCandidates counts the workers that w's step could go to.
 func (c *Cell) countCandidates(s *stage, w *Wait, now time.Time) {
 	q := c.queues[s.job.spec.Queue]
-	for _, worker := range c.order {
+	for _, worker := range c.sortedWorkers {
 		if !worker.usable() || !worker.suits(s, q) {
 			continue
 		}
-		at, good := s.advice.find(worker)
+		at, good := s.advice.findTicket(worker)
 		switch {
-		case q.Advice == nil || good && now.Before(s.advice.good[at].until):
+		case q.Advice == nil || good && now.Before(s.advice.tickets[at].until):
 			c.countCandidate(&w.Allowed, s, worker, q, now)
 		case good:
 			c.countCandidate(&w.Expired, s, worker, q, now)
@@ -106,7 +106,7 @@
 func (c *Cell) countCandidate(n *Candidates, s *stage, w *worker, q *Queue, now time.Time) {
 	n.All++
 	room := s.def.Room()
-	if s.full(w) || !w.health.allows(len(w.runs), now) {
+	if s.atPerWorkerLimit(w) || !w.health.allows(len(w.runs), now) {
 		return
 	}
 	if w.hasRoom(&room) {
@@ -114,7 +114,7 @@
 		return
 	}
 	free := w.free.Sub(w.reserved)
-	for _, r := range w.held {
+	for _, r := range w.runList {
 		if r.stopping || c.mayYield(r, q) {
 			free = free.Add(r.taken)
 		}
@@ -124,13 +124,13 @@
 	}
 }
 
-// whyNone tells apart why no worker was found.
-func (c *Cell) whyNone(s *stage, now time.Time) Why {
-	if len(s.opening) > 0 {
+// noWorkerReason tells apart why no worker was found.
+func (c *Cell) noWorkerReason(s *stage, now time.Time) Why {
+	if len(s.hallsToStore) > 0 {
 		return NotWritten
 	}
 	q := c.queues[s.job.spec.Queue]
-	for range c.allowed(s, q, now) {
+	for range c.permits(s, q, now) {
 		return NoWorker
 	}
 	return NoAdvice
--- a/cell/worker.go
+++ b/cell/worker.go
@@ -33,49 +33,49 @@
 // a worker that starts again under its id is another worker here.
 type worker struct {
 	Worker
-	// life is when this life began, by what it lists or what a former owner knew; 0 if it is
+	// incarnation is when this incarnation began, by what it lists or what a former owner knew; 0 if it is
 	// not known, or not said.
-	life     int64
-	attached bool
-	// met says that it was attached at some time, and inherited that a former owner had it.
-	met, inherited bool
-	// unsureSince is when the worker was last attached, while it is not.
-	unsureSince time.Time
-	// leaseOver is when its leases are over, while it is not attached; zero if it has none.
-	leaseOver time.Time
-	free      sched.Vec
+	incarnation int64
+	attached    bool
+	// everAttached says that it was attached at some time, and inherited that a former owner had it.
+	everAttached, inherited bool
+	// detachedSince is when the worker was last attached, while it is not.
+	detachedSince time.Time
+	// leaseEnd is when its leases are over, while it is not attached; zero if it has none.
+	leaseEnd time.Time
+	free     sched.Vec
 	// reserved is what is held for steps that come first in the order, during Place.
 	reserved sched.Vec
 	runs     map[runKey]*run
-	// held holds the same runs in the order in which they came, so that decisions
+	// runList holds the same runs in the order in which they came, so that decisions
 	// repeat, and fills counts those that fill.
-	held  []*run
-	fills int
-	// strays counts the runs of jobs that are not known: what they take is not
+	runList    []*run
+	fillerRuns int
+	// unknownRuns counts the runs of jobs that are not known: what they take is not
 	// known either.
-	strays int
-	// seen is the number of the last end that was taken in, saving the number
-	// that the save under way covers, and observed the last one that is kept.
-	seen, saving, observed int
-	health                 health
+	unknownRuns int
+	// seenEnd is the number of the last end that was taken in, savingEnd the number
+	// that the save under way covers, and observedEnd the last one that is kept.
+	seenEnd, savingEnd, observedEnd int
+	health                          health
 	// settled says that it is known what a former owner left running here.
 	settled bool
-	// withheld is how much of their speed the runs that fill do without, in
+	// throttlePercent is how much of their speed the runs that fill do without, in
 	// hundredths, and paced when that last changed.
-	withheld int
-	paced    time.Time
+	throttlePercent int
+	pacedAt         time.Time
 	// silent says that an order has gone without an answer for longer than
 	// answers take.
 	silent bool
-	// heard is when its entry was last read.
-	heard time.Time
-	// hungUp says that its side ended the connection, since it was last attached, and endSeen
+	// lastHeard is when its entry was last read.
+	lastHeard time.Time
+	// hungUp says that its side ended the connection, since it was last attached, and disconnectSeen
 	// that this was seen as it happened.
-	hungUp, endSeen bool
+	hungUp, disconnectSeen bool
 	// trialUntil is until when nothing is started there beside a trial.
 	trialUntil time.Time
-	// emptyBy is by when it should be empty, zero if it is not being emptied.
-	emptyBy time.Time
+	// evacuateBy is by when it should be empty, zero if it is not being emptied.
+	evacuateBy time.Time
 }
 
 // Running is a run as its worker lists it.
@@ -116,28 +116,28 @@
 	if w == nil {
 		w = newWorker(info, now)
 		if w.inherited = info.Gone; w.inherited {
-			w.life = info.Born
+			w.incarnation = info.Born
 		}
 		c.workers[info.ID] = w
-		at, _ := slices.BinarySearchFunc(c.order, info.ID, byID)
-		c.order = slices.Insert(c.order, at, w)
+		at, _ := slices.BinarySearchFunc(c.sortedWorkers, info.ID, compareWorkerID)
+		c.sortedWorkers = slices.Insert(c.sortedWorkers, at, w)
 	} else if w.Room != info.Room {
 		w.free = w.free.Add(info.Room).Sub(w.Room)
 	}
-	c.restless = c.restless || w.Draining != info.Draining
-	w.Worker, w.heard = info, now
+	c.runsNeedCheck = c.runsNeedCheck || w.Draining != info.Draining
+	w.Worker, w.lastHeard = info, now
 }
 
 func newWorker(info Worker, now time.Time) *worker {
-	return &worker{Worker: info, runs: make(map[runKey]*run), free: info.Room, unsureSince: now}
+	return &worker{Worker: info, runs: make(map[runKey]*run), free: info.Room, detachedSince: now}
 }
 
-// leavesIn returns how long a worker that is leaving surely stays.
-func (w *worker) leavesIn(now time.Time) time.Duration {
+// timeUntilLeave returns how long a worker that is leaving surely stays.
+func (w *worker) timeUntilLeave(now time.Time) time.Duration {
 	if !w.Draining {
-		return w.emptyBy.Sub(now)
+		return w.evacuateBy.Sub(now)
 	}
-	return w.Remaining - now.Sub(w.heard)
+	return w.Remaining - now.Sub(w.lastHeard)
 }
 
 // Silent says whether an order to a worker has gone without an answer for longer
@@ -150,7 +150,7 @@
 
 // usable reports whether w may be given anything now.
 func (w *worker) usable() bool {
-	return w.attached && !w.silent && !w.leaving() && !w.Gone && w.strays == 0 && w.described()
+	return w.attached && !w.silent && !w.leaving() && !w.Gone && w.unknownRuns == 0 && w.described()
 }
 
 // Missing says that a worker's entry has been missing for too long to place
@@ -171,37 +171,37 @@
 	// Those who still know of it place nothing there.
 	w.Gone = true
 	delete(c.workers, id)
-	c.order = slices.DeleteFunc(c.order, func(o *worker) bool { return o == w })
+	c.sortedWorkers = slices.DeleteFunc(c.sortedWorkers, func(o *worker) bool { return o == w })
 }
 
 // Lapsed says that nothing runs on a worker any more for certain: its leases
 // are over, or it lives another life.
 func (c *Cell) Lapsed(id string, how Loss, now time.Time) {
 	if w := c.workers[id]; w != nil {
-		c.lapse(w, how, now)
+		c.loseRuns(w, how, now)
 	}
 }
 
-// lapse has all that was on w lost.
-func (c *Cell) lapse(w *worker, how Loss, now time.Time) {
+// loseRuns has all that was on w lost.
+func (c *Cell) loseRuns(w *worker, how Loss, now time.Time) {
 	w.settled = true
-	c.lostBefore(w, how)
+	c.noteInheritedLoss(w, how)
 	c.blame(w, how, now)
-	lost := slices.Clone(w.held)
+	lost := slices.Clone(w.runList)
 	for _, r := range lost {
-		c.lostRuns = append(c.lostRuns, r.lostWith(how, now))
+		c.lostRuns = append(c.lostRuns, r.lostRun(how, now))
 	}
 	for _, r := range lost {
 		c.counts.Lapsed++
-		r.stage.job.story.Lost++
-		c.note(r, RunLeaseOver)
-		c.drop(r)
-		c.requeue(r.stage, r.index, r.saved, now)
+		r.stage.job.history.Lost++
+		c.noteChange(r, RunLeaseOver)
+		c.removeRun(r)
+		c.requeue(r.stage, r.index, r.checkpoint, now)
 	}
 	// Without a verdict a task that ends its worker's process would be started for ever: no
 	// end of it is ever listed as failed.
 	for _, r := range lost {
-		c.judge(r.stage, r.index, now)
+		c.giveUpIfCrashing(r.stage, r.index, now)
 	}
 }
 
@@ -210,7 +210,7 @@
 func (c *Cell) Unsure(id string, now time.Time) {
 	if w := c.workers[id]; w != nil && w.attached {
 		w.attached = false
-		w.unsureSince = now
+		w.detachedSince = now
 	}
 }
 
@@ -224,7 +224,7 @@
 // all its ends are kept, and it is given nothing any more.
 func (c *Cell) Left(id string) bool {
 	w := c.workers[id]
-	return w != nil && w.Draining && w.attached && len(w.runs) == 0 && w.seen == w.observed
+	return w != nil && w.Draining && w.attached && len(w.runs) == 0 && w.seenEnd == w.observedEnd
 }
 
 // Runs returns what runs on a worker, by what it last listed.
@@ -234,8 +234,8 @@
 		return nil
 	}
 	var out []Running
-	for _, r := range w.held {
-		out = append(out, Running{Task: r.task(), Run: r.n, Saved: r.saved, Percent: r.percent, Tail: r.tail})
+	for _, r := range w.runList {
+		out = append(out, Running{Task: r.task(), Run: r.number, Saved: r.checkpoint, Percent: r.percent, Tail: r.tail})
 	}
 	return out
 }
@@ -244,16 +244,16 @@
 // run that may have been given to another life: that one would forget ends of its own by it.
 func (c *Cell) Observed(id string) int {
 	w := c.workers[id]
-	if w == nil || slices.ContainsFunc(w.held, func(r *run) bool { return r.confirmed.IsZero() }) {
+	if w == nil || slices.ContainsFunc(w.runList, func(r *run) bool { return r.confirmedAt.IsZero() }) {
 		return 0
 	}
-	return w.observed
+	return w.observedEnd
 }
 
 // Unsaved reports whether a worker has listed ends that are not kept yet.
 func (c *Cell) Unsaved(id string) bool {
 	w := c.workers[id]
-	return w != nil && w.seen > w.observed
+	return w != nil && w.seenEnd > w.observedEnd
 }
 
 // Attached takes in the lists of a worker under a newer fence. Orders of before
@@ -263,38 +263,38 @@
 	if w == nil {
 		return
 	}
-	w = c.lifeThatLists(w, &l, now)
-	c.take(w, l, now)
-	for _, r := range slices.Clone(w.held) {
-		if r.withheld != w.withheld || r.withheld != 0 {
+	w = c.incarnationThatLists(w, &l, now)
+	c.takeLists(w, l, now)
+	for _, r := range slices.Clone(w.runList) {
+		if r.throttlePercent != w.throttlePercent || r.throttlePercent != 0 {
 			// What it was told of its pace may be lost.
-			r.withheld = -1
+			r.throttlePercent = -1
 		}
-		if r.confirmed.IsZero() && !l.Cut {
-			c.note(r, RunNotBegun)
-			c.drop(r)
-			c.requeue(r.stage, r.index, r.saved, now)
+		if r.confirmedAt.IsZero() && !l.Cut {
+			c.noteChange(r, RunNotBegun)
+			c.removeRun(r)
+			c.requeue(r.stage, r.index, r.checkpoint, now)
 		}
 	}
-	w.attached, w.met, w.settled = true, true, true
-	w.hungUp, w.endSeen = false, false
+	w.attached, w.everAttached, w.settled = true, true, true
+	w.hungUp, w.disconnectSeen = false, false
 }
 
 // Listed takes in the lists of a worker, asked for at sent. Those of another life say nothing
 // before it is attached: orders that are under way may still reach it.
 func (c *Cell) Listed(id string, l Lists, sent, now time.Time) {
 	w := c.workers[id]
-	if w == nil || w.isAnother(l.Born) {
+	if w == nil || w.isOtherIncarnation(l.Born) {
 		return
 	}
-	turn := c.take(w, l, now)
-	for _, r := range slices.Clone(w.held) {
-		if r.turn != turn && !l.Cut && !r.confirmed.IsZero() && r.confirmed.Before(sent) {
-			c.lostRuns = append(c.lostRuns, r.lostWith(LossMissing, now))
+	turn := c.takeLists(w, l, now)
+	for _, r := range slices.Clone(w.runList) {
+		if r.listSeq != turn && !l.Cut && !r.confirmedAt.IsZero() && r.confirmedAt.Before(sent) {
+			c.lostRuns = append(c.lostRuns, r.lostRun(LossMissing, now))
 			c.counts.Lapsed++
-			c.note(r, RunMissing)
-			c.drop(r)
-			c.requeue(r.stage, r.index, r.saved, now)
+			c.noteChange(r, RunMissing)
+			c.removeRun(r)
+			c.requeue(r.stage, r.index, r.checkpoint, now)
 		}
 	}
 }
@@ -304,7 +304,7 @@
 // a fact under every fence. Those of another life bear other numbers: what it listed before was
 // lost with it, and what it lists after comes again when it is attached.
 func (c *Cell) EndsListed(id string, l Lists, now time.Time) {
-	if w := c.workers[id]; w != nil && !w.isAnother(l.Born) {
+	if w := c.workers[id]; w != nil && !w.isOtherIncarnation(l.Born) {
 		c.takeEnds(w, l.Finished, now)
 	}
 }
@@ -320,8 +320,8 @@
 }
 
 func (c *Cell) unsettled() unsettled {
-	u := unsettled{any: len(c.order) == 0}
-	for _, w := range c.order {
+	u := unsettled{any: len(c.sortedWorkers) == 0}
+	for _, w := range c.sortedWorkers {
 		if w.settled {
 			continue
 		}
@@ -335,46 +335,46 @@
 	return u
 }
 
-// take takes in both lists and returns the turn that the running runs now bear.
-func (c *Cell) take(w *worker, l Lists, now time.Time) int {
+// takeLists takes in both lists and returns the turn that the running runs now bear.
+func (c *Cell) takeLists(w *worker, l Lists, now time.Time) int {
 	c.takeEnds(w, l.Finished, now)
-	c.turn++
+	c.listSeq++
 	for i := range l.Running {
-		c.listed(w, &l.Running[i], now)
+		c.takeRunning(w, &l.Running[i], now)
 	}
-	return c.turn
+	return c.listSeq
 }
 
 // takeEnds takes in the ends that are new. A worker lists all ends in their order from the
 // first one that it was not told to forget, so that none is passed over.
 func (c *Cell) takeEnds(w *worker, ends []Finished, now time.Time) {
 	for _, f := range ends {
-		if f.Number <= w.seen {
+		if f.Number <= w.seenEnd {
 			continue
 		}
-		w.seen = f.Number
-		c.ended(w, f, now)
+		w.seenEnd = f.Number
+		c.takeEnd(w, f, now)
 	}
 }
 
-// listed takes in one running run.
-func (c *Cell) listed(w *worker, row *Running, now time.Time) {
+// takeRunning takes in one running run.
+func (c *Cell) takeRunning(w *worker, row *Running, now time.Time) {
 	r := w.runs[runKey{row.Task, row.Run}]
 	if r == nil {
 		r = c.adopt(w, row, now)
-		c.note(r, RunAdopted)
+		c.noteChange(r, RunAdopted)
 	}
-	r.turn = c.turn
-	if r.confirmed.IsZero() {
+	r.listSeq = c.listSeq
+	if r.confirmedAt.IsZero() {
 		c.confirm(r, now)
 	}
-	r.listed, r.tail = now, row.Tail
+	r.lastListed, r.tail = now, row.Tail
 	if row.Percent != r.percent {
 		r.percent = row.Percent
-		r.progressed = now
+		r.lastProgress = now
 	}
 	if row.Saved != "" {
-		r.saved = row.Saved
+		r.checkpoint = row.Saved
 	}
 }
 
@@ -383,12 +383,12 @@
 func (c *Cell) adopt(w *worker, row *Running, now time.Time) *run {
 	s := c.stage(flow.StepID{Job: row.Task.Job, Time: row.Task.Time, Step: row.Task.Step})
 	if s == nil || row.Task.Index >= len(s.tasks) || s.tasks[row.Task.Index].state == taskElsewhere {
-		s = &stage{job: &job{spec: &flow.Spec{ID: row.Task.Job}, state: flow.Canceled}, time: row.Task.Time, step: row.Task.Step, def: &flow.Step{}, stray: true}
+		s = &stage{job: &job{spec: &flow.Spec{ID: row.Task.Job}, state: flow.Canceled}, time: row.Task.Time, step: row.Task.Step, def: &flow.Step{}, unknown: true}
 	}
-	r := &run{stage: s, index: row.Task.Index, n: row.Run, w: w, decided: now, taken: s.def.Room()}
-	w.hold(r)
-	c.restless = true
-	if !s.stray {
+	r := &run{stage: s, index: row.Task.Index, number: row.Run, worker: w, decidedAt: now, taken: s.def.Room()}
+	w.addRun(r)
+	c.runsNeedCheck = true
+	if !s.unknown {
 		c.bind(r, now)
 	}
 	return r
@@ -403,7 +403,7 @@
 		t.state = taskActive
 	}
 	t.runs = append(t.runs, r)
-	t.last = max(t.last, r.n-c.firstRun)
-	s.onWorker(r.w, 1)
-	c.try(r, now)
+	t.lastRun = max(t.lastRun, r.number-c.runBase)
+	s.countRunOn(r.worker, 1)
+	c.startTrialIfNeeded(r, now)
 }
