--- a/cell/account.go
+++ b/cell/account.go
@@ -8,48 +8,52 @@
 	"dewpass.org/sched"
 )
 
-// Account is what the configuration says of a client account.
+// Account is the configuration of a client account.
 type Account struct {
 	Name string
-	// Weight is its share of a full cell, in jobs a second; 0 is no bound.
+	// Weight is the account's share of a full cell, in jobs per second; 0 means no limit.
 	Weight float64
-	// Limit is what it may have running; 0 in a dimension is no limit.
+	// Limit bounds the account's running tasks; 0 in a dimension means no limit.
 	Limit sched.Vec
 }
 
-// account is a client account that has jobs here, with what they use.
+// account is a client account that has jobs here, with its use of the cell.
 //
-// It answers two loads. An account that runs more than it pays for is held at its limit,
-// whoever started its tasks: each run is charged from the decision to start it until it is
-// certain that it is over, and what a former owner may have started counts until that is known.
-// An account that sends many times its usual delays its own jobs only: those beyond its share
-// come after the jobs of all others that are as urgent.
+// It limits two kinds of load. An account that runs more than it pays for is held at its limit,
+// whoever started its tasks: each run is charged from the decision to start it until it is certain
+// to be over, and tasks that a former owner may have started count until it is known whether it
+// did. An account that submits many times its usual rate delays only its own jobs: jobs beyond its
+// share are placed after the equally urgent jobs of all other accounts.
 type account struct {
 	Account
-	// used is the demand of all runs that are held.
+	// used is the demand of all recorded runs of the account.
 	used sched.Vec
-	// possiblyUsed is, during Place, the demand of tasks that a former owner may have started on workers
-	// of which that is not known yet.
+	// possiblyUsed is, during Place, the demand of tasks that a former owner may have started on
+	// workers that are not settled.
 	possiblyUsed sched.Vec
 	share        bucket
-	// urgentUsed is what of used is by runs of its most urgentUsed queue, of priority first.
+	// urgentUsed is the part of used that belongs to the most urgent queue, whose priority is
+	// urgentPriority.
 	urgentUsed     sched.Vec
 	urgentPriority int
-	// urgentPeak is the most of that in the present span of urgentSpan and in the one before.
+	// urgentPeak is the maximum of urgentUsed in the current period of urgentWindow, and
+	// previousUrgentPeak that in the period before.
 	urgentPeak, previousUrgentPeak sched.Vec
 	windowEnd                      time.Time
 }
 
 const (
-	// urgentWindow is for how long the room that urgent jobs of an account have used is kept for
-	// the next of them under its limit: as long as the pauses between the calls of a customer.
+	// urgentWindow is how long room that an account's urgent jobs have used stays reserved for its
+	// next urgent jobs under its limit: as long as the pauses between a customer's calls.
 	urgentWindow = 3 * time.Second
-	// urgentDivisor bounds that room, as a divisor of the limit.
+	// urgentDivisor limits the reserved room: it is at most the account's limit divided by
+	// urgentDivisor.
 	urgentDivisor = 4
 )
 
-// reservedForUrgent returns what of the limit is reservedForUrgent for urgent jobs from others of the same account: without
-// it batch that fills the limit makes the calls of its own account wait for its ends.
+// reservedForUrgent returns the part of the limit that jobs of a priority must leave to the
+// account's more urgent jobs. Without it, batch jobs that fill the limit would make the urgent
+// calls of the same account wait for batch tasks to end.
 func (a *account) reservedForUrgent(priority int) sched.Vec {
 	if priority <= a.urgentPriority {
 		return sched.Vec{}
@@ -61,7 +65,7 @@
 	return kept
 }
 
-// trackUrgentPeak takes in what urgent jobs use.
+// trackUrgentPeak updates the peaks of urgent use.
 func (a *account) trackUrgentPeak(now time.Time) {
 	if now.After(a.windowEnd) {
 		a.previousUrgentPeak, a.urgentPeak = a.urgentPeak, sched.Vec{}
@@ -70,17 +74,19 @@
 	a.urgentPeak = a.urgentPeak.Max(a.urgentUsed)
 }
 
-// bucket counts jobs against a rate. Its zero value is full.
+// bucket limits a rate of jobs; it is a leaky bucket. Its zero value is empty, so that a whole
+// burst fits.
 type bucket struct {
-	// level is how many jobs more were level than the rate has given back.
+	// level is the number of jobs that were let in and have not leaked out yet.
 	level float64
 	at    time.Time
 }
 
-// shareBurst is for how long an account that was quiet may send at twice its share.
+// shareBurst is how long an account that was idle may submit at twice its share.
 const shareBurst = time.Second
 
-// take takes a job that arrived at a time, and reports whether it is within the rate.
+// take adds a job that arrived at a time, and reports whether it is within the rate. A job beyond
+// the rate is not added.
 func (b *bucket) take(rate float64, at time.Time) bool {
 	if passed := at.Sub(b.at); passed > 0 {
 		b.level = max(b.level-rate*passed.Seconds(), 0)
@@ -93,7 +99,7 @@
 	return true
 }
 
-// accountOf returns the account of a name, nil for none.
+// accountOf returns the account with a name, nil if the name is empty.
 func (c *Cell) accountOf(name string) *account {
 	if name == "" {
 		return nil
@@ -115,7 +121,8 @@
 	return first
 }
 
-// setAccounts sets the accounts. One that is left out keeps its limit for the jobs that it has.
+// setAccounts replaces the configured accounts. An account that is no longer configured keeps its
+// limit for the jobs that it has.
 func (c *Cell) setAccounts(accounts []Account) {
 	c.configured = make(map[string]Account, len(accounts))
 	for _, conf := range accounts {
@@ -126,12 +133,12 @@
 	}
 }
 
-// takeShare takes a job of a from its share, and reports whether it is beyond that.
+// takeShare charges a job to the share of a, and reports whether the job is beyond it.
 func (a *account) takeShare(arrived time.Time) (beyond bool) {
 	return a != nil && a.Weight > 0 && !a.share.take(a.Weight, arrived)
 }
 
-// charge adds what a run of a job takes, and refund takes it off.
+// charge adds the demand of a run to the job's account; refund subtracts it.
 func (j *job) charge(demand sched.Vec) {
 	a := j.account
 	if a == nil {
@@ -145,7 +152,7 @@
 
 func (j *job) refund(demand sched.Vec) { j.charge(demand.Scale(-1)) }
 
-// Holds reports whether the limit of a leaves room for a demand.
+// LimitCovers reports whether a demand is within the limit of a.
 func (a *Account) Holds(demand sched.Vec) bool {
 	for d, limit := range a.Limit {
 		if limit > 0 && demand[d] > limit {
@@ -155,7 +162,7 @@
 	return true
 }
 
-// allows reports whether a may have something more running, of a queue of a priority.
+// allows reports whether a may start more, from a queue with a priority, within its limit.
 func (a *account) allows(more sched.Vec, priority int) bool {
 	sum := a.used.Add(a.possiblyUsed).Add(more).Add(a.reservedForUrgent(priority))
 	for d, n := range more {
@@ -166,12 +173,12 @@
 	return a.Holds(sum)
 }
 
-// idle reports whether nothing of a runs.
+// idle reports whether nothing of a is running or may be running.
 func (a *account) idle() bool { return a.used.IsZero() && a.possiblyUsed.IsZero() }
 
-// countPossiblyUsed counts for each account what a former owner may have started of its jobs on workers
-// that are not settled: tasks that wait here, of steps that are held up, as far as those workers
-// have room. Tasks that fill take processor time beyond the room and are few beside it.
+// countPossiblyUsed sets, for each account, the demand of its tasks that a former owner may have
+// started on unsettled workers: the waiting tasks of steps that are held up, limited to the room of
+// these workers. Filler tasks use processor time beyond that room, but little in comparison.
 func (c *Cell) countPossiblyUsed(u *unsettled, now time.Time) {
 	for _, a := range c.accounts {
 		a.possiblyUsed = sched.Vec{}
@@ -190,8 +197,9 @@
 	}
 }
 
-// accountAtLimit reports whether the limit of its account lets no task of s start, or not all of a gang.
-// A task that alone is larger than the limit starts when nothing else of the account runs.
+// accountAtLimit reports whether the limit of its account prevents any task of s from starting, or
+// all of a gang from starting together. A single task larger than the limit may start when nothing
+// else of the account is running.
 func (s *stage) accountAtLimit() bool {
 	a := s.job.account
 	switch {
@@ -203,13 +211,13 @@
 	return !a.idle() && !a.allows(s.def.Demand, s.job.priority)
 }
 
-// AccountUse is what an account has running here.
+// AccountUse is an account with its use of the cell.
 type AccountUse struct {
 	Account
 	Used, Maybe sched.Vec
 }
 
-// usage returns what the account of a job has running.
+// usage returns the use of the cell by a, which may be nil.
 func (a *account) usage() AccountUse {
 	if a == nil {
 		return AccountUse{}
@@ -217,8 +225,8 @@
 	return AccountUse{Account: a.Account, Used: a.used, Maybe: a.possiblyUsed}
 }
 
-// MayUse reports whether an account may ask for and cancel a job: its own, one of a queue that is
-// open, or one of which no account is known.
+// MayUse reports whether an account may query and cancel a job: its own, one of an open queue, or
+// one whose account is not known.
 func (c *Cell) MayUse(id, account string) bool {
 	owner := ""
 	if j := c.jobs[id]; j != nil {
@@ -229,7 +237,7 @@
 	return owner == "" || owner == account
 }
 
-// exclusiveAccount returns the account that alone may use a job, "" if all may.
+// exclusiveAccount returns the only account that may use a job, "" if all may.
 func (c *Cell) exclusiveAccount(j *job) string {
 	if q := c.queues[j.spec.Queue]; q != nil && q.Open {
 		return ""
--- a/cell/advice.go
+++ b/cell/advice.go
@@ -13,65 +13,68 @@
 )
 
 const (
-	// minAskWorkers is how many workers a question names at least, if it may name so many: fewer
-	// would shorten the answer by little. askMost bounds them.
+	// minAskWorkers is the least number of workers that a question names if so many are eligible:
+	// with fewer the answer would hardly be faster. maxAskWorkers is the most.
 	minAskWorkers = 30
 	maxAskWorkers = 100
-	// askRoomFactor is how many times the tasks that wait a question looks for room: some of it
-	// is taken before the answer is there.
+	// askRoomFactor is the room that a question looks for, as a multiple of the room for the
+	// waiting tasks: some of it is taken before the answer arrives.
 	askRoomFactor = 2
-	// ticketMargin is how long before its end a ticket is not used any more.
+	// ticketMargin is how long before its expiry a ticket is last used.
 	ticketMargin = 80 * time.Millisecond
-	// longAskThreshold is from when on a question counts as long.
+	// longAskThreshold is the duration above which a question is long.
 	longAskThreshold = 150 * time.Millisecond
-	// oldestAskDivisor is the part of the long questions under way, as a divisor, that is kept for the
-	// steps that have waited longest for one. In the order of the steps alone those that come
-	// last were never asked about while others, for which there was no room, asked again and
-	// again.
+	// oldestAskDivisor sets the part of the long questions in flight, 1 in oldestAskDivisor, that
+	// is reserved for the steps that have waited longest to be asked about. By rank alone the last
+	// steps were never asked about, while others for which there was no room were asked about again
+	// and again.
 	oldestAskDivisor = 4
-	// shortAskDivisor is the part of the questions under way, as a divisor, that is kept
-	// for short ones, however many callers there still are: a long one would hold up many
-	// calls that somebody waits for, as after a loss of power to all, when each step has to
-	// ask anew.
+	// shortAskDivisor sets the part of the questions in flight, 1 in shortAskDivisor, that is
+	// reserved for short questions whatever the limit. After a total power loss, for example, every
+	// step has to be asked about again, and a long question would hold up many calls that users
+	// wait for.
 	shortAskDivisor = 3
-	// askRetryDelay is the pause after a question that had no answer.
+	// askRetryDelay is the pause after a question that was not answered.
 	askRetryDelay = 100 * time.Millisecond
-	// candidateRetryDelay is the pause after a look that found nobody to ask about.
+	// candidateRetryDelay is the pause after a search that found no worker to ask about.
 	candidateRetryDelay = 20 * time.Millisecond
 )
 
-// stageAdvice is what a queue's policy said of a stage. Which workers may run
-// it does not change; only tickets end.
+// stageAdvice is the policy's answers about a stage. Which workers may run the stage does not
+// change, but tickets expire.
 type stageAdvice struct {
-	// tickets are the workers that may run the stage, by their ids.
+	// tickets are those of the workers that may run the stage, ordered by worker id. They include
+	// expired ones.
 	tickets []*ticket
-	// asked holds the workers that were asked about. Another life is asked about anew, and no
-	// ticket holds for it.
+	// asked holds the workers that were asked about. A new incarnation of a worker is asked about
+	// again, and no ticket of an earlier one is valid for it.
 	asked  map[*worker]bool
 	asking bool
-	// notBefore is when the next question may be asked, and lastAsked when the lastAsked one was.
+	// notBefore is the earliest time of the next question, and lastAsked the time of the last one.
 	notBefore, lastAsked time.Time
 }
 
-// ticket lets worker run a stage until a time.
+// ticket permits a worker to run a stage until a time.
 type ticket struct {
 	worker *worker
 	text   string
 	until  time.Time
 }
 
-// findTicket returns where the ticket of a worker is among the good ones, or belongs.
+// findTicket returns the index in tickets of w's ticket or of the place for it, and whether w has
+// one.
 func (a *stageAdvice) findTicket(w *worker) (int, bool) {
-	at, there := a.searchTicket(w)
-	return at, there && a.tickets[at].worker == w
+	at, found := a.searchTicket(w)
+	return at, found && a.tickets[at].worker == w
 }
 
-// searchTicket returns where the ticket of any life of a worker is among the good ones, or belongs.
+// searchTicket returns the index in tickets of the ticket of any incarnation of w, and whether
+// there is one.
 func (a *stageAdvice) searchTicket(w *worker) (int, bool) {
 	return slices.BinarySearchFunc(a.tickets, w.ID, func(t *ticket, id string) int { return cmp.Compare(t.worker.ID, id) })
 }
 
-// setTicket keeps a ticket, in the place of one of an earlier life.
+// setTicket stores a ticket, replacing one of an earlier incarnation.
 func (a *stageAdvice) setTicket(t *ticket) {
 	at, known := a.searchTicket(t.worker)
 	if known {
@@ -81,7 +84,7 @@
 	a.tickets = slices.Insert(a.tickets, at, t)
 }
 
-// hasTicketUntil reports whether a ticket hasTicketUntil until a time.
+// hasTicketUntil reports whether there is a ticket that expires after a time.
 func (a *stageAdvice) hasTicketUntil(until time.Time) bool {
 	return slices.ContainsFunc(a.tickets, func(t *ticket) bool { return until.Before(t.until) })
 }
@@ -92,32 +95,33 @@
 	}
 }
 
-// Ask is a question to the policy: which of the workers may run the step.
+// Ask is a question to the policy: which of the workers may run the step?
 type Ask struct {
 	Step    flow.StepID
 	Workers []string
 	Advice  Advice
-	// Priority is that of the queue.
+	// Priority is that of the step's queue.
 	Priority int
-	// oldest says that it was asked for how long its step had waited.
+	// oldest means that the question was asked because its step had waited longest.
 	oldest bool
-	// candidates are the workers that are asked about, in the order of Workers.
+	// candidates are the workers asked about, in the order of Workers.
 	candidates []*worker
 }
 
-// Takes returns how long the policy takes for the answer.
+// Takes returns how long the policy is expected to take for the answer.
 func (a *Ask) Takes() time.Duration {
 	return a.Advice.Decide + time.Duration(len(a.Workers))*a.Advice.Each
 }
 
-// Long reports whether the answer takes long.
+// Long reports whether the answer is expected to take long.
 func (a *Ask) Long() bool { return a.Takes() > longAskThreshold }
 
-// alwaysLong reports whether the answer to any question takes long.
+// alwaysLong reports whether the answer to any question is expected to take long.
 func (a *Advice) alwaysLong() bool { return a.Decide+a.Each > longAskThreshold }
 
-// maySend reports whether a question may be asked where about asks may be under way at
-// once, for the sake of its step's place in the order or of how long it has waited.
+// maySend reports whether a question may be sent, with about asks questions allowed in flight.
+// oldest tells whether it is sent because its step has waited longest, rather than for the step's
+// rank.
 func (c *Cell) maySend(a *Ask, asks int, oldest bool) bool {
 	if !a.Long() {
 		return c.maySendShort(asks)
@@ -126,22 +130,22 @@
 }
 
 func (c *Cell) maySendLong(asks int, oldest bool) bool {
-	most := max(asks-max(asks/shortAskDivisor, 1), 1)
-	forOldest := most / oldestAskDivisor
+	maxLong := max(asks-max(asks/shortAskDivisor, 1), 1)
+	forOldest := maxLong / oldestAskDivisor
 	if oldest {
-		return c.asks < asks && c.longAsks < most && c.oldestAsks < max(forOldest, 1)
+		return c.asks < asks && c.longAsks < maxLong && c.oldestAsks < max(forOldest, 1)
 	}
-	return c.asks < asks && c.longAsks < most && c.longAsks-c.oldestAsks < max(most-forOldest, 1)
+	return c.asks < asks && c.longAsks < maxLong && c.longAsks-c.oldestAsks < max(maxLong-forOldest, 1)
 }
 
 func (c *Cell) maySendShort(asks int) bool {
 	return asks > 0 && c.asks-c.longAsks < max(asks-c.longAsks, asks/shortAskDivisor, 1)
 }
 
-// askAhead asks the policy about a step that is about to open, or whose tasks have to
-// move, unless it holds a ticket already: whether the workers that it names will do is
-// seen when the step is placed. Asking on until all workers are asked about took 6 questions
-// for such a step, and after a change of owner each waited for the others'.
+// askAhead asks the policy about a step that is about to open, or whose tasks have to move, unless
+// the step already holds a ticket. Whether the permitted workers suffice is checked when the step
+// is placed. Asking on until every worker had been asked about took 6 questions for such a step,
+// and after a change of owner steps waited for each other's questions.
 func (c *Cell) askAhead(s *stage, q *Queue, a *Actions, asks int, now time.Time) {
 	if !s.needsMove && s.advice.hasTicketUntil(now.Add(adviceLead)) {
 		return
@@ -151,14 +155,15 @@
 	}
 }
 
-// askFor asks the policy about a step whose tasks find no worker, for another reason than
-// that the store has to be told of a hall first.
+// askFor asks the policy about a step whose tasks find no worker, unless the step only waits for
+// the store to record a hall.
 func (c *Cell) askFor(s *stage, q *Queue, a *Actions, asks int, now time.Time) {
 	if !c.maySendShort(asks) || !s.mayAsk(q, now) || len(s.hallsToStore) > 0 {
 		return
 	}
 	if q.Advice.alwaysLong() && !c.maySendLong(asks, false) {
-		// Whom to ask about is not worth finding out before the question can be sent.
+		// Choosing the workers to ask about is costly, and pointless before the question can be
+		// sent.
 		c.unasked = append(c.unasked, unasked{s, q})
 		return
 	}
@@ -172,14 +177,13 @@
 	}
 }
 
-// unasked is a step about which a question might be asked if fewer were under way.
+// unasked is a step about which no question was sent for want of free questions in flight.
 type unasked struct {
 	stage *stage
 	queue *Queue
 }
 
-// askOldest asks about the steps that have waited longest for a question, of those that were
-// left out for their place in the order.
+// askOldest asks about those of the unasked steps that have waited longest for a question.
 func (c *Cell) askOldest(a *Actions, asks int, now time.Time) {
 	slices.SortStableFunc(c.unasked, func(x, y unasked) int { return x.stage.waitingToAskSince().Compare(y.stage.waitingToAskSince()) })
 	for _, u := range c.unasked {
@@ -195,7 +199,7 @@
 	c.unasked = c.unasked[:0]
 }
 
-// waitingToAskSince returns since when s has waited for a question about it.
+// waitingToAskSince returns when s began to wait for its next question.
 func (s *stage) waitingToAskSince() time.Time {
 	if s.advice.lastAsked.After(s.waitingSince) {
 		return s.advice.lastAsked
@@ -203,14 +207,14 @@
 	return s.waitingSince
 }
 
-// sendAsk asks a question about s.
+// sendAsk adds a question about s to the actions.
 func (c *Cell) sendAsk(s *stage, ask *Ask, a *Actions, now time.Time) {
 	s.advice.asking, s.advice.lastAsked = true, now
 	c.countAsk(ask, 1)
 	a.Asks = append(a.Asks, *ask)
 }
 
-// countAsk counts a question that is under way, by is 1, or is not any more, by is -1.
+// countAsk counts a question that is now in flight (by is 1) or no longer is (by is -1).
 func (c *Cell) countAsk(a *Ask, by int) {
 	c.asks += by
 	if a.Long() {
@@ -221,12 +225,12 @@
 	}
 }
 
-// Ticket lets a worker run a step.
+// Ticket permits a worker to run a step.
 type Ticket struct {
 	Worker, Text string
 }
 
-// Advised takes in the answer to a question sent at sent.
+// Advised processes the answer to a question that was sent at sent.
 func (c *Cell) Advised(a Ask, tickets []Ticket, valid time.Duration, sent time.Time) {
 	c.countAsk(&a, -1)
 	s := c.stage(a.Step)
@@ -248,27 +252,27 @@
 	}
 }
 
-// updatePolicyStats takes in what an answer says of the policy of a queue.
+// updatePolicyStats counts an answer in the statistics of the queue's policy.
 func (c *Cell) updatePolicyStats(s *stage, a *Ask, tickets []Ticket) {
 	p := c.policyStats[s.job.spec.Queue]
 	if p == nil {
 		p = new(policyStats)
 		c.policyStats[s.job.spec.Queue] = p
 	}
-	asked, good := 0, 0
+	asked, permitted := 0, 0
 	for _, w := range a.candidates {
 		if s.advice.asked[w] {
 			continue
 		}
 		asked++
 		if slices.ContainsFunc(tickets, func(t Ticket) bool { return t.Worker == w.ID }) {
-			good++
+			permitted++
 		}
 	}
-	p.add(asked, good)
+	p.add(asked, permitted)
 }
 
-// Unadvised says that a question had no answer.
+// Unadvised reports to the cell that a question was not answered.
 func (c *Cell) Unadvised(a Ask, now time.Time) {
 	c.countAsk(&a, -1)
 	if s := c.stage(a.Step); s != nil {
@@ -277,13 +281,13 @@
 	}
 }
 
-// permit is a worker that may run a stage now, with its ticket if it needs one.
+// permit is a worker that may run a stage now, with its ticket if one is needed.
 type permit struct {
 	worker *worker
 	ticket string
 }
 
-// permits yields the workers that may run s now, by their ids.
+// permits yields the workers that may run s now, ordered by id.
 func (c *Cell) permits(s *stage, q *Queue, now time.Time) iter.Seq[permit] {
 	return func(yield func(permit) bool) {
 		if q.Advice == nil {
@@ -302,12 +306,12 @@
 	}
 }
 
-// mayAsk reports whether it is worth looking whether s needs to ask.
+// mayAsk reports whether a question about s may be due.
 func (s *stage) mayAsk(q *Queue, now time.Time) bool {
 	return q.Advice != nil && !s.advice.asking && !now.Before(s.advice.notBefore) && (s.waiting > 0 || s.needsMove)
 }
 
-// ask returns the question that s needs now, or one without workers.
+// ask returns the question about s to send now, without workers if there is none to ask about.
 func (c *Cell) ask(s *stage, q *Queue, now time.Time) Ask {
 	a := Ask{Step: s.id(), Priority: q.Priority, Advice: *q.Advice}
 	candidates := c.askCandidates(s, q, now)
@@ -322,8 +326,9 @@
 }
 
 // askCount returns how many of the candidates a question about s names: as many as are likely to
-// have room for its tasks. Of a long answer most is there however many are named, so that where
-// batch waits for the policy a second question about a step costs more than a wide one.
+// have room for its tasks. Most of the time of a long answer is independent of the number of
+// workers, so where batch jobs wait for the policy a second question about a step costs more than a
+// wide one.
 func (c *Cell) askCount(s *stage, candidates []askCandidate) int {
 	share := c.policyStats[s.job.spec.Queue].share()
 	need := askRoomFactor * float64(s.waiting)
@@ -340,7 +345,7 @@
 	return len(candidates)
 }
 
-// fits returns how many of the tasks of s that wait w has room for.
+// fits returns how many of the waiting tasks of s fit on w.
 func (s *stage) fits(w *worker) int {
 	room := s.def.Room()
 	most := s.waiting
@@ -355,31 +360,32 @@
 	return n
 }
 
-// policyStats is what answers of a queue's policyStats were like.
+// policyStats counts the workers that a queue's policy was asked about, and those that it
+// permitted.
 type policyStats struct {
 	asked, permitted float64
 }
 
 const (
-	// policyWindow is how many workers asked about a policy is known by: what it says shifts
-	// with the jobs that come.
+	// policyWindow is the number of workers asked about above which both counts are halved, as the
+	// answers change with the mix of jobs.
 	policyWindow = 1000
-	// policyPriorShare is the share of the workers that a policy is taken to let run a step before
-	// it has said much, and policyWeight the number of workers that this counts as.
+	// policyPriorShare is the assumed share of workers that a policy permits before it has answered
+	// much. It weighs as much as answers about policyPriorWeight workers.
 	policyPriorShare  = 0.5
 	policyPriorWeight = 10
 )
 
-// add takes in an answer about some workers that were not asked about before.
-func (p *policyStats) add(asked, good int) {
+// add counts an answer about workers that were not asked about before.
+func (p *policyStats) add(asked, permitted int) {
 	if p.asked > policyWindow {
 		p.asked, p.permitted = p.asked/2, p.permitted/2
 	}
 	p.asked += float64(asked)
-	p.permitted += float64(good)
+	p.permitted += float64(permitted)
 }
 
-// share returns which part of the workers the policy lets run a step.
+// share returns the estimated share of workers that the policy permits to run a step.
 func (p *policyStats) share() float64 {
 	if p == nil {
 		return policyPriorShare
@@ -387,9 +393,9 @@
 	return (p.permitted + policyPriorShare*policyPriorWeight) / (p.asked + policyPriorWeight)
 }
 
-// askCandidates returns the workers about which it is worth asking, those that are known to be let run s
-// first, then those with the most room: any at first, then those that have room now, and no ticket
-// that still holds, and were not found unfit.
+// askCandidates returns the workers worth asking about, those known to be permitted first, then
+// those with the most free room. The first question may name any suitable worker; later ones name
+// workers that have room now, hold no valid ticket and were not found unfit.
 func (c *Cell) askCandidates(s *stage, q *Queue, now time.Time) []askCandidate {
 	first := s.advice.asked == nil
 	room := s.def.Room()
@@ -417,15 +423,15 @@
 	return out
 }
 
-// askCandidate is a worker about which it is worth asking, and whether it is known to be let run the
-// step.
+// askCandidate is a worker worth asking about. known means that the policy has permitted it to run
+// the step before.
 type askCandidate struct {
 	*worker
 	known bool
 }
 
-// soonFree reports whether w, which is reserved for s, will have room by the time the answer
-// to a question is there.
+// soonFree reports whether w, which is reserved for s, will have room by the time the policy has
+// answered.
 func (c *Cell) soonFree(s *stage, w *worker, q *Queue, now time.Time) bool {
 	if s.reservation.workers[w] == 0 {
 		return false
@@ -434,7 +440,7 @@
 	return o.tasks > 0 && o.wait <= c.askLeadTime(q)
 }
 
-// atPerWorkerLimit reports whether w carries as many tasks of s as it may.
+// atPerWorkerLimit reports whether w runs as many tasks of s as one worker may.
 func (s *stage) atPerWorkerLimit(w *worker) bool {
 	return s.def.PerWorker > 0 && s.runsByWorker[w] >= s.def.PerWorker
 }
--- a/cell/cell.go
+++ b/cell/cell.go
@@ -11,97 +11,97 @@
 	"dewpass.org/sched"
 )
 
-// Queue is what the configuration says of a queue of jobs.
+// Queue is the configuration of a queue of jobs.
 type Queue struct {
 	Name string
 	// Pool names the workers that run the queue's tasks.
 	Pool string
-	// Priority orders queues, 0 first.
+	// Priority orders the queues; 0 is the most urgent.
 	Priority int
-	// MaxAttempts is how many failures of a task end its job.
+	// MaxAttempts is the number of failures of one task that fails its job.
 	MaxAttempts int
-	// A job is in time within Stretch times its longest chain plus Target.
+	// The objective of a job is Stretch times its longest chain of steps, plus Target.
 	Stretch float64
 	Target  time.Duration
-	// Open says that calls need no key of a client account.
+	// Open means that calls need no key of a client account.
 	Open bool
-	// Advice is nil unless a policy says which workers may run a step.
+	// Advice is nil unless a policy decides which workers may run a step.
 	Advice *Advice
 }
 
-// Advice says what asking the policy of a queue takes.
+// Advice describes the cost of asking the policy of a queue and the lifetime of its tickets.
 type Advice struct {
-	// Decide and Each are how long one answer takes: once, and for each worker
-	// that is asked about.
+	// An answer takes Decide plus Each for every worker that is asked about.
 	Decide, Each time.Duration
-	// Valid is how long a ticket holds.
+	// Valid is the lifetime of a ticket.
 	Valid time.Duration
 }
 
-// Cell holds the jobs and workers of a hall. Make one with New.
+// Cell holds the jobs and workers of a data hall. Use New to make one.
 type Cell struct {
-	// Name is the cell's, by which it knows its share of jobs that several cells run. Without
-	// one it runs whole jobs.
+	// Name identifies the cell; it selects the cell's share of jobs that are split between cells. A
+	// cell without a name runs whole jobs.
 	Name string
 
 	queues  map[string]*Queue
 	workers map[string]*worker
-	// configured holds the client accounts of the configuration, accounts those that have or
-	// had jobs here.
+	// configured holds the client accounts of the configuration, accounts those that have or had
+	// jobs here.
 	configured map[string]Account
 	accounts   map[string]*account
-	// sortedWorkers holds the workers by their id, so that decisions repeat.
+	// sortedWorkers holds the workers ordered by id, so that decisions are deterministic.
 	sortedWorkers []*worker
 	jobs          map[string]*job
-	// finished holds the jobs whose end was not told by Ended yet.
+	// finished holds the jobs whose end Ended has not returned yet.
 	finished []*job
-	// unstoredSuccesses holds the jobs that have succeeded and of which the store may not know yet.
+	// unstoredSuccesses holds the succeeded jobs whose end the store may not have yet.
 	unstoredSuccesses map[string]*job
-	// retired holds the jobs that were retired.
+	// retired holds the end states of jobs whose tasks have been forgotten.
 	retired map[string]retiredJob
-	// unmatchedEnds holds the ends that workers listed of jobs that are not known yet.
+	// unmatchedEnds holds the ends that workers listed for jobs that are not known yet.
 	unmatchedEnds []unmatchedEnd
-	// openStages holds the stages that have tasks waiting or soon will have.
+	// openStages holds the stages that have waiting tasks or soon will.
 	openStages []*stage
-	// runBase is added to the number of every run, so that it is above all
-	// that a former owner gave.
+	// runBase is added to the number of every run, so that run numbers are above all numbers that a
+	// former owner gave.
 	runBase int
 	dirty   []*job
-	// asks counts the questions under way, longAsks the long ones among them and oldestAsks those
-	// of these that were asked for how long their steps had waited. maxAsks is how many there
-	// may be by the last decision.
+	// asks counts the questions in flight, longAsks the long ones among them, and oldestAsks those
+	// of the long ones that were asked because their step had waited longest. maxAsks is the limit
+	// on questions in flight that the last Place was given.
 	asks, longAsks, oldestAsks, maxAsks int
-	// policyStats is what is known of the policyStats of queues, by queue.
+	// policyStats holds statistics of the policies' answers, by queue.
 	policyStats map[string]*policyStats
-	// unasked are the steps that were left without a question during Place.
+	// unasked collects, during Place, the steps that were left without a question.
 	unasked []unasked
 	counts  Counts
-	// changes are those of tasks that last, until Changes.
-	changes []Change
-	// recentLosses are the workers that were lost lately.
+	// changes collects the events of runs of lasting tasks until Changes returns them.
+	changes []RunChange
+	// recentLosses holds the workers lost within lossRetention.
 	recentLosses []workerLoss
-	// activeTrials and maxTrials are how many tasks are being tried during Place, and may be.
+	// activeTrials is the number of trials under watch, and maxTrials the limit, both set by Place.
 	activeTrials, maxTrials int
-	// inheritedWorkerLost says that a worker of a former owner was gone when this one came.
+	// inheritedWorkerLost means that a worker of a former owner had gone when this owner took over.
 	inheritedWorkerLost bool
 	givenUps            []GivenUp
-	// lostRuns are the runs that were lost with their workers, until LostRuns.
+	// lostRuns collects the runs that were lost with their workers until LostRuns returns them.
 	lostRuns []LostRun
-	// sendBudget is how many bytes the starts of the next decision may have, sendBudgetLeft what is
-	// left of that during Place, and sendShared says that those of a step share their text.
+	// sendBudget is the number of bytes that the starts of the next decision may take,
+	// sendBudgetLeft what is left of it during Place. textShared means that the starts of a step
+	// share their text on the link.
 	sendBudget, sendBudgetLeft int
 	textShared                 bool
-	// sendLimited says that the last Place left out starts for want of room to send.
+	// sendLimited means that the last Place left out starts because the send budget was used up.
 	sendLimited bool
-	// listSeq counts the lists that were taken in.
+	// listSeq counts the lists that workers have sent.
 	listSeq int
-	// runsNeedCheck says that there may be runs to stop, and looked when all runs were
-	// last looked over.
+	// runsNeedCheck means that there may be runs to stop. runsCheckedAt is when all runs were last
+	// checked.
 	runsNeedCheck bool
 	runsCheckedAt time.Time
 }
 
-// Counts are totals since the cell was made.
+// Counts are totals of runs since the cell was made.
 type Counts struct {
 	Started, Done, Failed, Stopped, Lapsed uint64
 }
@@ -121,8 +121,8 @@
 	}
 }
 
-// Configure sets the queues and the client accounts. A queue that is left out starts nothing
-// any more.
+// Configure replaces the queues and the client accounts. Jobs of a queue that is no longer
+// configured start nothing more.
 func (c *Cell) Configure(queues []Queue, accounts ...Account) {
 	c.setAccounts(accounts)
 	c.queues = make(map[string]*Queue, len(queues))
@@ -131,26 +131,25 @@
 	}
 }
 
-// Counts returns the totals.
 func (c *Cell) Counts() Counts { return c.counts }
 
-// Load sums up a cell for those who choose between cells.
+// Load summarizes a cell for choosing between cells.
 type Load struct {
-	// Room is what the attached workers have, Free what of it nobody takes.
+	// Room is the capacity of the attached workers, Free the part of it that is unused.
 	Room, Free sched.Vec
-	// Halls is the free processor of each hall, in thousandths.
+	// Halls is the free processor capacity of each hall, in thousandths of a processor.
 	Halls map[string]int64
-	// Waiting is the work that waits, in milliseconds of one processor.
+	// Waiting is the estimated work of waiting tasks, in milliseconds of one processor.
 	Waiting int64
 	// Pending counts the accepted jobs of which no task has begun, by queue.
 	Pending map[string]int
-	// Workers and Attached count the workers.
+	// Workers and Attached count all workers and the attached ones.
 	Workers, Attached int
-	// Stages counts the steps with tasks that wait.
+	// Stages counts the steps that have waiting tasks.
 	Stages int
 }
 
-// Load returns the present load.
+// Load returns the current load.
 func (c *Cell) Load() Load {
 	l := Load{Pending: make(map[string]int), Halls: make(map[string]int64)}
 	for _, w := range c.sortedWorkers {
--- a/cell/change.go
+++ b/cell/change.go
@@ -4,50 +4,50 @@
 
 import "dewpass.org/flow"
 
-// Event is what happened to a run of a task that lasts.
-type Event string
+// RunEvent is an event in the life of a run of a lasting task.
+type RunEvent string
 
-// What happens to runs of tasks that last.
+// The events of runs of lasting tasks.
 const (
-	// RunOrdered: an order to start it was decided.
-	RunOrdered Event = "ordered"
-	// RunBegan: its worker has it.
-	RunBegan Event = "began"
-	// RunNotBegun: the order came to nothing, and never will.
-	RunNotBegun Event = "not_begun"
-	// RunMoving: its worker leaves, and another has room.
-	RunMoving Event = "moving"
-	// RunStalled: it stood still and is stopped.
-	RunStalled Event = "stalled"
-	// RunEndListed: its worker listed its end.
-	RunEndListed Event = "over"
-	// RunMissing: its worker does not list it any more.
-	RunMissing Event = "missing"
-	// RunLeaseOver: its worker was lost, and its lease is over.
-	RunLeaseOver Event = "lease_over"
-	// RunAdopted: a former owner started it.
-	RunAdopted Event = "adopted"
+	// RunOrdered: the run was decided, and an order to start it is sent.
+	RunOrdered RunEvent = "ordered"
+	// RunBegan: the worker has the run.
+	RunBegan RunEvent = "began"
+	// RunNotBegun: the order had no effect and never will.
+	RunNotBegun RunEvent = "not_begun"
+	// RunMoving: the worker leaves and another one has room, so the run is stopped.
+	RunMoving RunEvent = "moving"
+	// RunStalled: the run made no progress and is stopped.
+	RunStalled RunEvent = "stalled"
+	// RunEndListed: the worker listed the end of the run.
+	RunEndListed RunEvent = "over"
+	// RunMissing: the worker does not list the run any more.
+	RunMissing RunEvent = "missing"
+	// RunLeaseOver: the worker was lost and its lease has expired.
+	RunLeaseOver RunEvent = "lease_over"
+	// RunAdopted: the run was started by a former owner.
+	RunAdopted RunEvent = "adopted"
 )
 
-// Change is something that happened to a run of a task that lasts. There are few of those,
-// and each absence is felt, so that every change is told.
-type Change struct {
+// RunChange is an event of a run of a lasting task. There are few such runs and every interruption
+// of one is noticed by users, so all of their events are reported.
+type RunChange struct {
 	Task   flow.TaskID
 	Run    int
 	Worker string
-	Event  Event
+	Event  RunEvent
 }
 
-// Changes returns the changes since the last call, in their order.
-func (c *Cell) Changes() []Change {
+// Changes returns the events since the last call, in order.
+func (c *Cell) Changes() []RunChange {
 	out := c.changes
 	c.changes = nil
 	return out
 }
 
-// noteChange adds a change of r to what is told, if its task lasts.
-func (c *Cell) noteChange(r *run, e Event) {
+// noteChange records an event of r if its task is a lasting one.
+func (c *Cell) noteChange(r *run, e RunEvent) {
 	if r.stage.def.Lasting && !r.stage.unknown {
-		c.changes = append(c.changes, Change{Task: r.task(), Run: r.number, Worker: r.worker.ID, Event: e})
+		c.changes = append(c.changes, RunChange{Task: r.task(), Run: r.number, Worker: r.worker.ID, Event: e})
 	}
 }
--- a/cell/choose.go
+++ b/cell/choose.go
@@ -10,8 +10,7 @@
 	"dewpass.org/sched"
 )
 
-// suits reports whether w is one of the workers that may run s, whatever room
-// it has now.
+// suits reports whether w may run s and is large enough, whatever room it has now.
 func (w *worker) suits(s *stage, q *Queue) bool {
 	if w.Pool != q.Pool {
 		return false
@@ -23,7 +22,7 @@
 	return w.Room.Covers(&room)
 }
 
-// choose returns the worker for a task, nil if there is none.
+// choose returns the best worker for a task with its ticket, or nil if there is none.
 func (c *Cell) choose(s *stage, t *task, q *Queue, now time.Time) (*worker, string) {
 	var best *worker
 	var bestTicket string
@@ -42,7 +41,7 @@
 	return best, bestTicket
 }
 
-// hasRoom reports whether w has room that is not reserved.
+// hasRoom reports whether w has unreserved room.
 func (w *worker) hasRoom(room *sched.Vec) bool {
 	if !w.free.Covers(room) {
 		return false
@@ -60,8 +59,8 @@
 	sameRackBonus  = 5.0
 )
 
-// score says how well a task goes onto a worker that has room for it: best fit,
-// but near its data and away from where it failed.
+// score rates w for a task that fits there: best fit first, but near the task's data and away from
+// workers where it failed.
 func (c *Cell) score(s *stage, t *task, w *worker, room *sched.Vec) float64 {
 	left := w.free.Sub(*room)
 	score := -left.Share(w.Room)
@@ -91,9 +90,8 @@
 	return score
 }
 
-// jobAffinity says how much is gained by keeping the tasks of a job in one hall and
-// on few workers: a job is lost as a whole, so that what fails should hit few
-// jobs.
+// jobAffinity returns the bonus for keeping the tasks of a job in one hall and on few workers: a
+// job fails as a whole, so a failure should affect few jobs.
 func (s *stage) jobAffinity(w *worker) float64 {
 	gain := 0.0
 	if w.Hall == s.job.hall {
@@ -105,7 +103,7 @@
 	return gain
 }
 
-// chooseHall chooses the hall of a job: the one with the most room on workers that
+// chooseHall chooses the preferred hall of a job: the one with the most free room on workers that
 // may run s.
 func (c *Cell) chooseHall(s *stage, q *Queue, now time.Time) {
 	room := make(map[string]int64)
@@ -123,6 +121,6 @@
 	}
 }
 
-// hallSwitchFactor keeps a job in its hall unless another one has that many times the
-// room.
+// hallSwitchFactor keeps a job in its hall unless another hall has more than this many times the
+// free room.
 const hallSwitchFactor = 4
--- a/cell/crash.go
+++ b/cell/crash.go
@@ -9,73 +9,74 @@
 	"dewpass.org/flow"
 )
 
-// A task may end the process of each worker that starts it. Nobody lists the end of such a
-// run, and what ran beside it is lost as well. So each loss of a worker is held against the
-// runs that may have caused it, and a task against which there is something is tried alone:
-// on the worker with the least to lose, with nothing started beside it at first. The next loss
-// then names one task, and takes little with it.
-// docs/design/crashes.md says what counts and what a wrong verdict costs.
+// A task may crash every worker that starts it. The end of such a run is never listed, and the
+// other runs on the worker are lost as well. So each loss of a worker counts against the runs that
+// may have caused it, and a task with such losses is started as a trial: on the worker with the
+// least to lose, with nothing else started there at first. The next loss then points to a single
+// task and destroys little else. docs/design/crashes.md says what counts and what a wrong verdict
+// costs.
 
 const (
-	// youngRunAge is how long after its start a run is the first to be blamed for the loss of its
-	// worker: what it is given and what it loads are read by then.
+	// youngRunAge is the age below which a run is the first to be blamed for the loss of its
+	// worker: by then a task has read its input and loaded its code.
 	youngRunAge = time.Second
-	// correlatedYoungRunAge is the same where several workers are lost together, for which there is
-	// mostly another cause.
+	// correlatedYoungRunAge is the same where several workers are lost together, which mostly has
+	// another cause.
 	correlatedYoungRunAge = 250 * time.Millisecond
-	// correlationWindow is within which time workers are lost for one cause: a rack without power
-	// takes all of its connections at once, and an owner reads that within some tens of
-	// milliseconds.
+	// correlationWindow is the time within which losses of workers are taken to have one cause: a
+	// rack without power drops all of its connections at once, and an owner notices within some
+	// tens of milliseconds.
 	correlationWindow = 150 * time.Millisecond
-	// silentCorrelationWindow is the same where nothing ended a connection: each call to a worker
-	// finds that out when its own time is over.
+	// silentCorrelationWindow is the same where no connection was closed: each call to a worker
+	// finds out only at its own timeout.
 	silentCorrelationWindow = 2500 * time.Millisecond
-	// crashClearTime is how long a run has to go on for nothing to be held against its task
-	// any more, nor the loss of its worker from then on: workers fail by themselves as well.
+	// crashClearTime is how long a run has to last to clear its task of all earlier losses. The
+	// loss of its worker after that does not count against it either, as workers also fail by
+	// themselves.
 	crashClearTime = 30 * time.Second
-	// lossRetention is for how long losses are compared with others.
+	// lossRetention is how long a loss is kept for comparison with others.
 	lossRetention = 30 * time.Second
-	// maxWorkersInDoubt is how many workers may be in doubt with young runs of one step before
-	// no more of it are started.
+	// maxWorkersInDoubt is the number of workers in doubt with young runs of one step at which no
+	// more tasks of that step are started.
 	maxWorkersInDoubt = 2
 )
 
-// A task is given up after so many workers. Two losses at the same time after a start, within soon
-// and with nobody else to blame, are beyond chance, as are three later, or one beside three at the
-// same time for which others may be to blame. A task that crashes each worker must not be
-// started three times more after the third: so five end it in any case, if it was to blame for
-// most of them.
+// These limits set how many lost workers give a task up. Two losses at about the same young age,
+// with no other run to blame, are beyond chance; so are three such losses at any age, or one of
+// them together with three at about the same age for which other runs may be to blame. A task that
+// crashes every worker must not be started three more times after the third loss, so a total of
+// five also gives it up if it was blamed for most of them.
 const (
 	youngSoleLimit = 2
 	soleLimit      = 3
 	alikeLimit     = 4
 	totalLimit     = 5
 	blamedLimit    = 3
-	// Losses are at the same time after their starts within minAlikeTolerance, and within a part of
-	// that time, as a divisor: what a task does until it ends its worker takes about as long
-	// each time, while workers that end by themselves do so at any time.
+	// Two ages are alike if they differ by at most minAlikeTolerance, or by at most 1/alikeDivisor
+	// of the age: a task takes about the same time to crash its worker on each attempt, while
+	// workers that fail by themselves do so at any time.
 	minAlikeTolerance = 100 * time.Millisecond
 	alikeDivisor      = 8
 )
 
-// workerLoss is a worker that was lost not long ago.
+// workerLoss is a recent loss of a worker.
 type workerLoss struct {
 	id string
 	at time.Time
-	// youngStages are the steps with youngStages runs there, and suspect says that a task was there that
-	// was blamed before.
+	// youngStages are the steps with young runs on the worker. suspect means that a task that was
+	// already blamed for a loss ran there.
 	youngStages []*stage
 	suspect     bool
 }
 
-// explains reports whether a loss has a cause of its own, or that of the worker of r: a task that
-// was blamed before, or the step that both had just started. A rack without power takes other
-// workers as well.
+// explains reports whether the loss has its own cause, or the same cause as that of r's worker: a
+// task that was blamed before, or a step that both workers had just started. Otherwise an outside
+// cause, such as a rack without power, may explain both.
 func (l *workerLoss) explains(r *run) bool {
 	return l.suspect || slices.Contains(l.youngStages, r.stage)
 }
 
-// newWorkerLoss returns the loss of w at a time.
+// newWorkerLoss describes the loss of w at a time.
 func newWorkerLoss(w *worker, at time.Time) workerLoss {
 	l := workerLoss{id: w.ID, at: at, youngStages: w.youngStages(at)}
 	for _, r := range w.runList {
@@ -84,8 +85,8 @@
 	return l
 }
 
-// blamedBefore reports whether the task of r was blamed before, and r had not gone on for much
-// longer than then.
+// blamedBefore reports whether the task of r was blamed for an earlier loss and r had not run for
+// much longer than the runs that were lost then.
 func (r *run) blamedBefore(at time.Time) bool {
 	if r.stage.unknown {
 		return false
@@ -94,21 +95,22 @@
 	return t.suspect() && r.age(at) <= max(youngRunAge, 2*t.longestCrashAge())
 }
 
-// GivenUp is a task that is started no more, as its workers crash.
+// GivenUpTask is a task that is not started any more because its workers crashed.
 type GivenUp struct {
 	Task    flow.TaskID
 	Crashes []flow.Crash
 }
 
-// GivenUps returns the tasks that were given up since the last call.
+// GivenUpTasks returns the tasks given up since the last call.
 func (c *Cell) GivenUps() []GivenUp {
 	out := c.givenUps
 	c.givenUps = nil
 	return out
 }
 
-// HungUp says that the connection to a worker was ended or refused by its side, as when its
-// process ends. just says that it was open until now, so that this is the moment of it.
+// HungUp reports to the cell that the worker's side closed or refused the connection, as it does
+// when the worker's process ends. just means that the connection was open until now, so that this
+// is the moment of the disconnect.
 func (c *Cell) HungUp(id string, just bool) {
 	if w := c.workers[id]; w != nil && !w.attached {
 		w.hungUp = true
@@ -116,17 +118,18 @@
 	}
 }
 
-// wasLost reports whether w was attached before and is not now. The entry of a worker that is no
-// more may be listed for a while, and is then that of one that was never met.
+// wasLost reports whether w was attached before and is not now. The entry of a worker that has
+// ended may be listed for a while after that, and is then indistinguishable from one of a worker
+// that was never attached.
 func (w *worker) wasLost() bool { return w.everAttached && !w.attached }
 
-// leftAsAnnounced reports whether w was lost as it had said that it leaves, or was being emptied, and not
-// well before its time.
+// leftAsAnnounced reports whether w was lost at a time when it had announced to leave or was being
+// evacuated, and not well before it was due to leave.
 func (w *worker) leftAsAnnounced(at time.Time) bool {
 	return w.leaving() && !(w.Draining && w.timeUntilLeave(at) > endListingMargin)
 }
 
-// lostAt returns since when nothing is known of w.
+// lostAt returns the time since when nothing is known of w.
 func (w *worker) lostAt(now time.Time) time.Time {
 	if w.attached {
 		return now
@@ -134,9 +137,9 @@
 	return w.detachedSince
 }
 
-// age returns how long r surely went on where its worker was lost at a time. That is when its
-// side ended a connection; where none was seen to end, as all had gone silent, the worker may
-// have been lost at any moment since it last spoke of r.
+// age returns how long r certainly ran before its worker was lost at a time. If the disconnect was
+// observed, that is the time from the decision to start r. Otherwise the worker may have been lost
+// at any time since it last reported r, and only the time up to that report counts.
 func (r *run) age(at time.Time) time.Duration {
 	if !r.worker.disconnectSeen {
 		at = r.decidedAt
@@ -149,7 +152,7 @@
 	return max(at.Sub(r.decidedAt), 0)
 }
 
-// youngStages returns the steps of which runs on w were started within soon of at.
+// youngStages returns the steps of the runs on w that were younger than youngRunAge at a time.
 func (w *worker) youngStages(at time.Time) []*stage {
 	var out []*stage
 	for _, r := range w.runList {
@@ -160,7 +163,7 @@
 	return out
 }
 
-// blame holds the loss of w against what ran there.
+// blame counts the loss of w against the runs that were there.
 func (c *Cell) blame(w *worker, how Loss, now time.Time) {
 	at := w.lostAt(now)
 	if how == LossPlanned || w.leftAsAnnounced(at) {
@@ -191,50 +194,50 @@
 	}
 }
 
-// suspects returns the runs on w that may have ended it: those of tasks that were suspects before,
-// else the young ones, else all that have not gone on for long.
+// suspects returns the runs on w that may have caused its loss: those whose tasks were blamed
+// before; else the young ones; else all that have not yet run for crashClearTime.
 func (w *worker) suspects(at time.Time) []*run {
-	var some, young, before []*run
+	var recent, young, repeated []*run
 	for _, r := range w.runList {
 		if r.stage.unknown || r.age(at) > crashClearTime {
 			continue
 		}
-		some = append(some, r)
+		recent = append(recent, r)
 		if r.age(at) <= youngRunAge {
 			young = append(young, r)
 		}
 		if r.blamedBefore(at) {
-			before = append(before, r)
+			repeated = append(repeated, r)
 		}
 	}
 	switch {
-	case len(before) > 0:
-		return before
+	case len(repeated) > 0:
+		return repeated
 	case len(young) > 0:
 		return young
 	}
-	return some
+	return recent
 }
 
-// blameOf returns how r, one of some that may have ended its worker, is blamed for it.
-func (c *Cell) blameOf(r *run, how Loss, at time.Time, some int) flow.Blame {
+// blameOf returns the blame of r, one of some suspects, for the loss of its worker.
+func (c *Cell) blameOf(r *run, how Loss, at time.Time, suspects int) flow.Blame {
 	again := r.stage.tasks[r.index].suspect()
 	switch {
 	case c.lostTogether(r, how, at):
-		// A hall that is cut off, or a rack without power, which says little of a task that
-		// was blamed before, and nothing where all is silent.
+		// A hall that is cut off, or a rack without power. This says little about a task that was
+		// blamed before, and nothing where all workers are silent.
 		if how != LossSilent && (again || r.age(at) <= correlatedYoungRunAge) {
 			return flow.BlameShared
 		}
 		return flow.BlameBeside
-	case some == 1 && how != LossSilent:
+	case suspects == 1 && how != LossSilent:
 		return flow.BlameSole
 	}
 	return flow.BlameShared
 }
 
-// lostTogether reports whether other workers were lost together with that of r, for a cause that
-// is not known.
+// lostTogether reports whether other workers were lost at about the same time as that of r without
+// a known cause.
 func (c *Cell) lostTogether(r *run, how Loss, at time.Time) bool {
 	within := correlationWindow
 	if how == LossSilent {
@@ -257,16 +260,17 @@
 	return false
 }
 
-// noteInheritedLoss notes that a worker which a former owner had was gone when this one came.
+// noteInheritedLoss records that a worker of a former owner had gone when this owner took over.
 func (c *Cell) noteInheritedLoss(w *worker, how Loss) {
 	if w.inherited && !w.everAttached && how != LossPlanned {
 		c.inheritedWorkerLost = true
 	}
 }
 
-// countInheritedLoss holds a run of a former owner against its task: nobody has it, and a worker was
-// lost while the owner changed. It counts once for each owner, by a number that no run has. A
-// task that was blamed before is blamed for it, as it was tried or would have been.
+// countInheritedLoss counts a presumed loss against a task that a former owner may have run: no
+// worker has the run, and a worker was lost during the change of owner. Each owner counts this at
+// most once, under a run number that no run has. A task that was blamed before is blamed for this
+// loss too, as it was on trial or about to be.
 func (c *Cell) countInheritedLoss(s *stage, index int, now time.Time) {
 	t := &s.tasks[index]
 	if !c.inheritedWorkerLost || !s.job.restored || t.lastRun > 0 {
@@ -284,11 +288,11 @@
 	c.giveUpIfCrashing(s, index, now)
 }
 
-// addCrash notes that a run was lost with its worker.
+// addCrash records against its task that a run was lost with its worker.
 func (c *Cell) addCrash(r *run, crash flow.Crash) {
 	t := &r.stage.tasks[r.index]
 	if slices.ContainsFunc(t.crashes, func(o flow.Crash) bool { return o.Run == crash.Run }) {
-		// A former owner has taken note of it.
+		// A former owner has already counted it.
 		return
 	}
 	t.crashes = append(t.crashes, crash)
@@ -298,20 +302,20 @@
 	}
 }
 
-// suspect reports whether a task may be one that crashes its workers.
+// suspect reports whether a task may be crashing its workers.
 func (t *task) suspect() bool {
 	return len(t.crashes) > 1 ||
 		slices.ContainsFunc(t.crashes, func(c flow.Crash) bool { return c.Blame != flow.BlameBeside })
 }
 
-// crashesMustBeStored reports whether what is held against a task has to be in its job's record: not what is
-// only beside a loss, as the neighbours of many workers lost together are, unless each owner in a
-// row would have to begin with it.
+// crashesMustBeStored reports whether the losses counted against a task belong in its job's record.
+// A single loss without blame does not, as the many neighbors of workers lost together have one
+// each; an inherited loss does, or each owner in a row would count from the start.
 func (t *task) crashesMustBeStored() bool {
 	return t.suspect() || slices.ContainsFunc(t.crashes, func(c flow.Crash) bool { return c.Inherited })
 }
 
-// longestCrashAge returns how long the longest run that was lost had gone on.
+// longestCrashAge returns the age of the oldest run of the task that was lost.
 func (t *task) longestCrashAge() time.Duration {
 	longest := int64(0)
 	for _, c := range t.crashes {
@@ -320,7 +324,8 @@
 	return time.Duration(longest) * time.Millisecond
 }
 
-// crashesOf returns what is held against a task. The members of a gang are lost as one.
+// crashesOf returns the losses counted against a task. The members of a gang are lost together, so
+// their losses are combined.
 func (s *stage) crashesOf(index int) []flow.Crash {
 	if !s.def.Gang {
 		return s.tasks[index].crashes
@@ -339,15 +344,15 @@
 	return out
 }
 
-// mustGiveUp reports whether crashes are enough to give a task up.
+// mustGiveUp reports whether the losses are enough to give a task up.
 func mustGiveUp(crashes []flow.Crash) bool {
-	sole, blamed, seen, lost := 0, 0, 0, 0
+	sole, blamed, observed, total := 0, 0, 0, 0
 	for _, c := range crashes {
-		lost += lossWeight(c)
+		total += lossWeight(c)
 		if c.Blame != flow.BlameBeside {
 			blamed++
 			if !c.Inherited {
-				seen++
+				observed++
 			}
 		}
 		if c.Blame != flow.BlameSole {
@@ -359,14 +364,15 @@
 			return true
 		}
 	}
-	// What may be two losses, and may be none, gives a task up only beside losses that were seen.
+	// An inherited loss may stand for two losses or for none, so it only adds to losses that were
+	// observed.
 	return sole >= soleLimit || (blamed >= blamedLimit && len(crashes) >= totalLimit) ||
-		(seen >= blamedLimit && lost >= totalLimit)
+		(observed >= blamedLimit && total >= totalLimit)
 }
 
-// lossWeight returns how many losses c may stand for. An owner starts a task again that was beside one
-// loss before the store has that: if it cannot write, it may have lost two runs that the next owner
-// does not know of.
+// lossWeight returns the number of losses that c may stand for. After a single loss without blame,
+// an owner restarts the task before the store has the loss. An owner that cannot write may
+// therefore have lost two runs of which the next owner knows nothing.
 func lossWeight(c flow.Crash) int {
 	if c.Inherited && c.Blame == flow.BlameBeside {
 		return 2
@@ -374,8 +380,8 @@
 	return 1
 }
 
-// countAlike counts the losses at the same time after their starts as c, itself among them, and those
-// for which nobody else is to blame.
+// countAlike counts the losses at about the same age as c, c included, and those among them for
+// which no other run is to blame.
 func countAlike(crashes []flow.Crash, c flow.Crash) (all, alone int) {
 	within := max(minAlikeTolerance.Milliseconds(), c.AgeMS/alikeDivisor)
 	for _, o := range crashes {
@@ -390,8 +396,9 @@
 	return all, alone
 }
 
-// giveUpIfCrashing gives a task up if its workers have crashed too often, and its job with it. A cell
-// that has a part of a job gives up the task alone: the job's own cell says what becomes of it.
+// giveUpIfCrashing gives a task up, and with it its job, if its workers have crashed too often. A
+// cell that runs a part of another cell's job gives up only the task: the job's own cell decides
+// about the job.
 func (c *Cell) giveUpIfCrashing(s *stage, index int, now time.Time) {
 	if s.unknown {
 		return
@@ -412,8 +419,9 @@
 	c.finish(s.job, flow.Failed, now)
 }
 
-// stagesInDoubt returns the steps of which young runs are on several workers whose connections have
-// just ended: more of them would meet the same end before it is known what they did.
+// stagesInDoubt returns the steps with young runs on several workers whose connections have just
+// been closed. Further tasks of such a step might crash more workers before the first losses are
+// established.
 func (c *Cell) stagesInDoubt() map[*stage]bool {
 	var seen map[*stage]int
 	var out map[*stage]bool
--- a/cell/doc.go
+++ b/cell/doc.go
@@ -1,25 +1,22 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package cell decides what the workers of a cell run, for jobs of several steps.
+// Package cell schedules the tasks of multi-step jobs on the workers of a cell.
 //
-// The package is pure. A Cell is fed with events: a worker was heard of, a
-// worker listed what it runs and what has ended, a job was accepted, a store
-// kept what it was given. Each event comes with the time. What is to be done
-// comes out of Place as values: runs to start and to stop, advice to ask for.
-// Nothing here reads a clock, starts a goroutine or talks to anybody.
+// The package is pure: it reads no clock, starts no goroutine and does no I/O. The caller reports
+// events to a Cell, each with its time: a worker's entry was read, a worker listed its runs and
+// ends, a job was accepted, the store wrote a record. Place returns the resulting decisions as
+// values: runs to start and to stop, and questions to ask a policy.
 //
-// # What is certain
+// # Guarantees
 //
-// A run takes room from the moment that it is decided until its end is listed,
-// or it is certain that it never began. A worker of which an order's answer was
-// lost is not attached: nothing is placed there until it has listed what it
-// runs under a newer fence, which no earlier order can pass. A worker that
-// cannot be reached keeps its runs until their lease is surely over, or another
-// life of it was seen.
+// A run occupies room on its worker from the decision to start it until its end is listed or it is
+// certain that it never began. A worker whose answer to an order was lost is detached: nothing is
+// placed there until it has listed its runs under a newer fencing token, which no earlier order can
+// pass. An unreachable worker keeps its runs until their leases have certainly expired or a new
+// incarnation of the worker has been seen.
 //
 // # Order
 //
-// Stages that wait are ordered by the priority of their queue, then by whether
-// they can still be in time, then by the time that is left to them beyond the
-// work still to do.
+// Waiting stages are ordered by the priority of their queue, then by whether they can still meet
+// their objective, then by slack: the time left to them beyond the work still to do.
 package cell
--- a/cell/early.go
+++ b/cell/early.go
@@ -9,27 +9,28 @@
 	"dewpass.org/flow"
 )
 
-// A former owner that did not know yet that it is none may have been told of a job and started
-// tasks of it, after the present owner read its jobs. The workers then list runs and ends of a job
-// that is not known here. They are kept until the job is, and the workers are not told to forget
-// them before: the next owner would not hear of them, and start their tasks again.
+// A former owner that does not yet know that it has been replaced may accept a job and start its
+// tasks after the present owner has read the stored jobs. Workers then list runs and ends of a job
+// that is not known here. Such ends are kept until the job is known, and the workers are not told
+// to discard them before: otherwise the next owner would not learn of them and would start the
+// tasks again.
 
 const (
-	// unmatchedEndRetention is for how long ends of unknown jobs are kept: several times as long as it
-	// takes an owner to find a job that nobody told it of.
+	// unmatchedEndRetention is how long ends of unknown jobs are kept: several times as long as an
+	// owner takes to find a job that it was not told about.
 	unmatchedEndRetention = 30 * time.Second
-	// maxUnmatchedEnds bounds them.
+	// maxUnmatchedEnds limits the number of such ends.
 	maxUnmatchedEnds = 4096
 )
 
-// unmatchedEnd is an end that a worker listed of a job that was not known.
+// unmatchedEnd is an end that a worker listed for a job that was not known.
 type unmatchedEnd struct {
 	Finished
 	worker *worker
 	at     time.Time
 }
 
-// addUnmatchedEnd keeps the end of a run of a job that is not known.
+// addUnmatchedEnd keeps the end of a run of an unknown job.
 func (c *Cell) addUnmatchedEnd(w *worker, f Finished, now time.Time) {
 	c.expireUnmatchedEnds(now)
 	if over := len(c.unmatchedEnds) + 1 - maxUnmatchedEnds; over > 0 {
@@ -38,21 +39,22 @@
 	c.unmatchedEnds = append(c.unmatchedEnds, unmatchedEnd{Finished: f, worker: w, at: now})
 }
 
-// expireUnmatchedEnds forgets the ends of jobs that have not become known for long.
+// expireUnmatchedEnds discards the ends whose jobs have not become known within
+// unmatchedEndRetention.
 func (c *Cell) expireUnmatchedEnds(now time.Time) {
 	c.unmatchedEnds = slices.DeleteFunc(c.unmatchedEnds, func(e unmatchedEnd) bool { return now.Sub(e.at) > unmatchedEndRetention })
 }
 
-// JobsRead says that all jobs are known that the store had at a time. A run starts only once the
-// store has its job: an end that was listed before then, of a job that is still not known, is that
-// of a job that is over, or of another cell.
+// JobsRead reports to the cell that it knows all jobs that the store had at a time. A run starts
+// only after the store has its job, so an end that was listed before that time for a job that is
+// still unknown belongs to a retired job or to another cell.
 func (c *Cell) JobsRead(at time.Time) {
 	c.unmatchedEnds = slices.DeleteFunc(c.unmatchedEnds, func(e unmatchedEnd) bool { return e.at.Before(at) })
 }
 
-// setSavingEnds sets up to which end each worker may be told to forget its ends once all that is dirty
-// now is kept: up to the last one that was taken in, or to the one before the first of a job that
-// may still become known.
+// setSavingEnds sets, for each worker, up to which end it may be told to discard its ends once all
+// present changes are stored: the last end taken in, or the one before the first that matters to a
+// job that may still become known.
 func (c *Cell) setSavingEnds() {
 	for _, w := range c.sortedWorkers {
 		w.savingEnd = w.seenEnd
@@ -64,10 +66,10 @@
 	}
 }
 
-// decides reports whether an end says something of its task that a record keeps.
+// decides reports whether an end changes what the job's record says of its task.
 func (f *Finished) decides() bool { return f.How == flow.EndDone || f.How == flow.EndFailed }
 
-// claimUnmatched takes in what was listed of a job before it was known.
+// claimUnmatched applies to a job that has become known what workers have already listed of it.
 func (c *Cell) claimUnmatched(j *job, now time.Time) {
 	for _, e := range c.unmatchedEnds {
 		if e.Task.Job == j.spec.ID {
@@ -87,7 +89,7 @@
 	}
 }
 
-// bindUnknownRun gives a run to the step of its job, which is known by now.
+// bindUnknownRun assigns a run of a formerly unknown job to its step, now that the job is known.
 func (c *Cell) bindUnknownRun(r *run, now time.Time) {
 	s := c.stage(flow.StepID{Job: r.stage.job.spec.ID, Time: r.stage.time, Step: r.stage.step})
 	if s == nil || r.index >= len(s.tasks) || s.tasks[r.index].state == taskElsewhere {
--- a/cell/empty.go
+++ b/cell/empty.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// Empty has just these workers emptied: they are given nothing new, and what runs
-// there moves as it does from a worker that leaves. Each counts as leaving patience
-// after it was named first.
+// Evacuate sets the workers to evacuate, replacing the previous set: they are given nothing new,
+// and their runs are moved as from a leaving worker. Each may be taken down, with the limits
+// described at Evacuated, once patience has passed since it was first named.
 func (c *Cell) Empty(ids []string, patience time.Duration, now time.Time) {
 	for _, w := range c.sortedWorkers {
 		switch wanted := slices.Contains(ids, w.ID); {
@@ -21,9 +21,8 @@
 	}
 }
 
-// Emptied reports whether a worker that is being emptied may go: nothing runs there,
-// or it has been waited for long enough and no step would miss more of its tasks than
-// it may.
+// Evacuated reports whether a worker under evacuation may be taken down: it runs nothing, or its
+// deadline has passed and it has no run at work of a step that limits its missing tasks.
 func (c *Cell) Emptied(id string, now time.Time) bool {
 	w := c.workers[id]
 	if w == nil || w.evacuateBy.IsZero() || !w.attached {
@@ -35,11 +34,11 @@
 	return !now.Before(w.evacuateBy) && !slices.ContainsFunc(w.runList, (*run).missed)
 }
 
-// missed reports whether r is at work for a step that may miss only some of its tasks
-// by the system's doing.
+// missed reports whether r is at work for a step that limits how many of its tasks may be missing
+// because of the system's own actions.
 func (r *run) missed() bool {
 	return !r.stage.unknown && r.stage.def.Lasting && r.stage.def.MayMiss > 0 && r.atWork()
 }
 
-// leaving reports whether w is given up soon, by itself or for its upkeep.
+// leaving reports whether w will be gone soon, because it announced so or is being evacuated.
 func (w *worker) leaving() bool { return w.Draining || !w.evacuateBy.IsZero() }
--- a/cell/ends.go
+++ b/cell/ends.go
@@ -9,7 +9,7 @@
 	"dewpass.org/flow"
 )
 
-// takeEnd takes in the end of a run.
+// takeEnd processes the end of a run.
 func (c *Cell) takeEnd(w *worker, f Finished, now time.Time) {
 	r := w.runs[runKey{f.Task, f.Run}]
 	if r != nil {
@@ -24,7 +24,7 @@
 	c.takeTaskEnd(w, f, now)
 }
 
-// takeTaskEnd takes in the end of a run of a job that is known.
+// takeTaskEnd processes the end of a run of a known job.
 func (c *Cell) takeTaskEnd(w *worker, f Finished, now time.Time) {
 	s := c.stage(flow.StepID{Job: f.Task.Job, Time: f.Task.Time, Step: f.Task.Step})
 	if s == nil || f.Task.Index >= len(s.tasks) {
@@ -74,7 +74,7 @@
 	s.setWaiting(t, true)
 }
 
-// completeTask takes in that a task is completeTask. One member of a gang speaks for all.
+// completeTask marks a task as done. If it belongs to a gang all members are done.
 func (c *Cell) completeTask(s *stage, index int, now time.Time) {
 	if s.def.Lasting || s.tasksLeft == 0 {
 		return
@@ -87,7 +87,7 @@
 		c.markTaskDone(s, index)
 	}
 	c.markDirty(s.job)
-	// Copies and members of a gang may run on.
+	// Copies and other members of a gang may still be running.
 	c.runsNeedCheck = c.runsNeedCheck || s.def.Copies || s.def.Gang
 	if s.tasksLeft == 0 {
 		s.doneAt = now
@@ -108,7 +108,7 @@
 	s.tasksLeft--
 }
 
-// completeStage opens the steps behind a stage, or ends its job.
+// completeStage opens the steps that follow a stage, or ends its job.
 func (c *Cell) completeStage(s *stage, now time.Time) {
 	j := s.job
 	if j.state.Final() {
@@ -129,11 +129,11 @@
 	}
 }
 
-// takeFailure takes in a takeFailure attempt.
+// takeFailure processes a failed attempt.
 func (c *Cell) takeFailure(s *stage, f Finished, w *worker, now time.Time) {
 	t := &s.tasks[f.Task.Index]
 	if slices.Contains(t.failedRuns, f.Run) {
-		// A former owner has taken note of it.
+		// A former owner has already counted it.
 		return
 	}
 	w.health.runFailed(now)
@@ -163,34 +163,35 @@
 	}
 }
 
-// Outcome is what became of an order to start a run.
+// Outcome is the outcome of an order to start a run.
 type Outcome uint8
 
 // The outcomes of an order to start a run.
 const (
-	// Accepted means that the run is there.
+	// Accepted means that the worker has the run.
 	Accepted Outcome = iota
 	// Refused means that the run did not begin and never will.
 	Refused
 	// NoRoom means that the worker had no room.
 	NoRoom
-	// NoTicket means that the ticket was not good any more.
+	// NoTicket means that the ticket was not valid any more.
 	NoTicket
 	// TooOld means that the number of the run was not above earlier ones.
 	TooOld
-	// Unhealthy means that the worker does not start anything now.
+	// Unhealthy means that the worker does not start anything at present.
 	Unhealthy
 )
 
-// OrderLost says that the answer to an order was lost, as was the worker's hold on it: call Unsure
-// as well.
+// OrderLost reports to the cell that the answer to an order was lost, which counts against the
+// worker's health. Detached must be called as well.
 func (c *Cell) OrderLost(worker string, now time.Time) {
 	if w := c.workers[worker]; w != nil {
 		w.health.orderLost(now)
 	}
 }
 
-// Started takes in the answer to an order. Where there was none, call Unsure.
+// Started processes the answer to an order. If there was no answer, Detached must be called
+// instead.
 func (c *Cell) Started(worker string, task flow.TaskID, n int, o Outcome, now time.Time) {
 	w := c.workers[worker]
 	if w == nil {
@@ -208,7 +209,7 @@
 	c.removeRun(r)
 	switch o {
 	case NoRoom:
-		// What the worker has is not what is on the books.
+		// The worker's free room is not what this cell has recorded.
 		c.Unsure(worker, now)
 		w.health.noRoom(now)
 	case NoTicket:
@@ -221,6 +222,6 @@
 	c.requeue(r.stage, r.index, r.checkpoint, now)
 }
 
-// runNumberSkip is how many numbers are passed over when a worker has seen a higher
-// one than the cell.
+// runNumberSkip is how many run numbers are skipped when a worker has seen a higher number than the
+// cell.
 const runNumberSkip = 16
--- a/cell/health.go
+++ b/cell/health.go
@@ -5,30 +5,31 @@
 import "time"
 
 const (
-	// failuresForProbation is how many failures in a row put a worker on probation.
+	// failuresForProbation is the number of consecutive failures that puts a worker on probation.
 	failuresForProbation = 2
-	// minProbation is how long such a worker gets nothing, and refusal how long
-	// one that refuses for its own reasons does. Probation doubles each time up
-	// to probationMost.
+	// A worker on probation gets nothing for minProbation at first, twice as long each time after
+	// that, up to maxProbation. A worker that refuses orders for its own reasons gets nothing for
+	// refusalPause.
 	minProbation = 2 * time.Second
 	maxProbation = 16 * time.Second
 	refusalPause = 500 * time.Millisecond
-	// lostOrdersForPause is how many orders in a row have to be lost for a worker to get nothing for a
-	// while, though it answers holds: one of them may be lost anywhere on its way. The while
-	// doubles up to lostMost, in which a worker that works again is not missed for long.
+	// lostOrdersForPause is the number of consecutive lost orders after which a worker gets nothing
+	// for a while, though it answers polls: a single order may be lost anywhere on its way. The
+	// pause begins at refusalPause and doubles up to maxLostOrderPause, which is short enough for a
+	// worker that works again.
 	lostOrdersForPause = 2
 	maxLostOrderPause  = 4 * time.Second
 )
 
-// health follows how a worker's runs end. Its zero value is healthy.
+// health tracks how a worker's runs and orders end. Its zero value is healthy.
 type health struct {
 	failuresInRow   int
 	blockedUntil    time.Time
 	probationLength time.Duration
-	// onProbation says that the worker may have one run, to see how it ends.
+	// onProbation means that the worker may have only one run at a time, until one is done.
 	onProbation bool
-	// lostOrders counts the orders that were lostOrders since it last took one, and noRoomRefusals those that it
-	// refused for want of room.
+	// lostOrders counts the orders lost since the worker last accepted one, and noRoomRefusals
+	// those that it refused for want of room.
 	lostOrders, noRoomRefusals int
 }
 
@@ -44,7 +45,7 @@
 	h.startProbation(now)
 }
 
-// runStalled takes in that a run stands still, which says enough by itself.
+// runStalled records that a run stalled, which is enough for probation by itself.
 func (h *health) runStalled(now time.Time) {
 	h.failuresInRow++
 	if now.After(h.blockedUntil) {
@@ -65,18 +66,18 @@
 	}
 }
 
-// noRoom takes in that the worker had no room for what should fit. Once may be an order that
-// is not on the books any more. Twice in a row its room has shrunk, and its entry will say so:
-// asked again at once it would answer the same.
+// noRoom records that the worker had no room for a run that should fit. Once, the reason may be an
+// order that is no longer recorded. Twice in a row, the worker's room has shrunk; its entry will
+// say so, and until then the worker would only refuse again.
 func (h *health) noRoom(now time.Time) {
 	if h.noRoomRefusals++; h.noRoomRefusals > 1 {
 		h.pause(now)
 	}
 }
 
-// orderLost takes in that an order was lost. Its task goes elsewhere if there is room: the worker
-// that answers holds and loses orders, as it bears no more connections, is still the one into
-// which the task fits best.
+// orderLost records that an order was lost. The pause sends the task to another worker with room: a
+// worker that answers polls but loses orders, because it accepts no more connections, would still
+// be the best fit for the task.
 func (h *health) orderLost(now time.Time) {
 	h.lostOrders++
 	if more := h.lostOrders - lostOrdersForPause; more >= 0 {
--- a/cell/job.go
+++ b/cell/job.go
@@ -18,114 +18,115 @@
 	taskDone
 	// taskElsewhere is the state of a task that another cell runs.
 	taskElsewhere
-	// taskGivenUp is the state of a task that is started no more, of a job of another cell.
+	// taskGivenUp is the state of a task of another cell's job that is not started any more because
+	// its workers crashed.
 	taskGivenUp
 )
 
 type task struct {
 	state taskState
-	// lastRun is the number of the lastRun run, without the cell's firstRun.
+	// lastRun is the number of the last run, less the cell's runBase.
 	lastRun int
 	runs    []*run
 	// failedRuns holds the numbers of the runs that failed.
 	failedRuns []int
 	checkpoint string
-	// yieldCount counts how often it was stopped for a task of a more urgent queue.
+	// yieldCount counts how often the task was stopped for a task of a more urgent queue.
 	yieldCount int
-	// avoid are workers on which the task has failed.
+	// avoid lists the workers on which the task failed or stalled.
 	avoid []string
-	// crashes are its runs that were lost with their workers since one went on well, of
-	// which the store has the first crashesKept, and lostRacks the racks of those workers.
+	// crashes are the runs that were lost with their workers since the last run that went well. The
+	// store has the first storedCrashes of them. lostRacks are the racks of those workers.
 	crashes       []flow.Crash
 	storedCrashes int
 	lostRacks     []string
 }
 
-// stage is one step of a job at one time.
+// stage is one step of one repetition of a job.
 type stage struct {
 	job  *job
 	time int
 	step int
 	def  *flow.Step
-	// unknown marks the stand-in for the step of a job that is not known.
+	// unknown marks a placeholder for a step of a job that the cell does not know.
 	unknown bool
 
 	tasks     []task
 	tasksLeft int
 	waiting   int
-	// pendingDeps counts the steps that are not done yet.
+	// pendingDeps counts the steps before this one that are not done yet.
 	pendingDeps int
 	due         time.Time
 
 	runsByWorker map[*worker]int
 	advice       stageAdvice
-	// gangFailedRuns holds the numbers of a gang's runs that failed, and gangLast that
-	// of its last run.
+	// gangFailedRuns holds the numbers of a gang's runs that failed, and gangLastRun the number of
+	// its last run.
 	gangFailedRuns map[int]bool
 	gangLastRun    int
-	// reservation is the room that is held for its tasks while they wait.
+	// reservation is the room held for the stage's tasks while they wait.
 	reservation reservation
-	// waitingSince is since when a task waits, and doneAt when the last was done.
+	// waitingSince is when the current wait of the stage's tasks began, and doneAt when its last
+	// task was done.
 	waitingSince time.Time
 	doneAt       time.Time
-	// chain is the estimate of the work from this step to the end of its job.
+	// chain is the estimated duration of the work from this step to the end of its job.
 	chain time.Duration
-	// waitTimes is what it has waited for.
+	// waitTimes is the time spent waiting so far, by reason.
 	waitTimes waitTimes
-	// reportedAt is when it was last reportedAt that the stage waits.
+	// reportedAt is when the stage's wait was last reported.
 	reportedAt time.Time
-	// rank is the stage's place in the present order.
+	// rank is the stage's place in the current order.
 	rank rank
-	// needsMove says that a task has to leave its worker, or is about to be lost with it, and finds
-	// no place yet.
+	// needsMove means that a task has to leave its worker, or is about to be lost with it, and no
+	// other worker has room for it yet.
 	needsMove bool
-	// storedHalls are those, beside the job's own, of which the store knows that tasks
-	// may have been started there, and hallsToStore those that it has to be told of.
+	// storedHalls are the halls, besides the job's own, of which the store has recorded that tasks
+	// may have been started there. hallsToStore are those still to be recorded.
 	storedHalls, hallsToStore []string
-	// blamedLosses counts the workers whose loss was held against tasks of it, since one of its
-	// trials went well.
+	// blamedLosses counts the workers whose loss was blamed on tasks of the stage since one of its
+	// trials last went well.
 	blamedLosses int
-	// inheritedHalls are the halls that a former owner had opened.
+	// inheritedHalls are the halls that a former owner had recorded.
 	inheritedHalls []string
 }
 
 type job struct {
 	spec *flow.Spec
-	// account is the client account that handed it in, nil if none is known, and beyond says
-	// that it came beyond its account's share.
+	// account is the client account that submitted the job, nil if none is known. beyondShare means
+	// that the job exceeded its account's share on arrival.
 	account     *account
 	beyondShare bool
-	// priority is that of its queue when it came.
+	// priority is that of the job's queue on arrival.
 	priority int
-	// share is the part of its tasks that are this cell's.
+	// share selects the tasks of the job that this cell runs.
 	share flow.Share
-	// stored says that the store has the job; nothing starts before.
+	// stored means that the store has the job; nothing starts before that.
 	stored bool
-	// began says that a worker has had a task of it.
+	// began means that a worker has had one of its tasks.
 	began     bool
 	cancelled bool
 	state     flow.State
 	// storedState is the state that the store has.
 	storedState flow.State
-	// archived says that the store has its end apart from the record.
+	// archived means that the store has the job's end apart from its record.
 	archived bool
-	// successShared says that another instance knows that it has succeeded.
+	// successShared means that another instance knows that the job has succeeded.
 	successShared bool
 	arrived       time.Time
 	ended         time.Time
 	stages        []*stage
 	stagesLeft    int
-	// dirty says that the job is among those to be saved.
+	// dirty means that the job is in Cell.dirty, waiting to be saved.
 	dirty   bool
 	history Story
-	// longestChain is the estimate of the longestChain chain of steps.
+	// longestChain is the estimated duration of the longest chain of steps.
 	longestChain time.Duration
-	// hall is where the tasks of the job go as long as there is room, so that
-	// the loss of a hall hurts few jobs.
+	// hall is the preferred hall for the job's tasks, so that the loss of a hall affects few jobs.
 	hall string
-	// restored says that a former owner knew it.
+	// restored means that a former owner knew the job.
 	restored bool
-	// activeTrials counts its runs that are being tried, and trialsPassed those that went well.
+	// activeTrials counts the job's runs on trial, and trialsPassed its trials that went well.
 	activeTrials, trialsPassed int
 }
 
@@ -137,8 +138,7 @@
 	return j.stages[i]
 }
 
-// waitingWork returns the work of tasks that wait, in milliseconds of one
-// processor.
+// waitingWork returns the estimated work of the waiting tasks, in milliseconds of one processor.
 func (j *job) waitingWork() int64 {
 	var sum int64
 	for _, s := range j.stages {
@@ -157,7 +157,7 @@
 	return flow.StepID{Job: s.job.spec.ID, Time: s.time, Step: s.step}
 }
 
-// ready reports whether the steps before s are done.
+// ready reports whether the steps before s are done and the job has not ended.
 func (s *stage) ready() bool { return s.pendingDeps == 0 && !s.job.state.Final() }
 
 func (s *stage) setWaiting(t *task, waits bool) {
@@ -179,15 +179,15 @@
 	}
 }
 
-// Submit adds a job that is not kept yet: advice may be asked for, but nothing
-// starts before Keep.
+// Submit adds a job that the store does not have yet: the policy may be asked about it, but nothing
+// starts before the job is stored.
 func (c *Cell) Submit(spec *flow.Spec, arrived, now time.Time) {
 	if !c.Known(spec.ID) {
 		c.add(spec, nil, arrived, now)
 	}
 }
 
-// Keep says that the store has the job.
+// JobStored reports to the cell that the store has the job.
 func (c *Cell) Keep(id string) {
 	if j := c.jobs[id]; j != nil && !j.stored {
 		j.stored = true
@@ -195,7 +195,7 @@
 	}
 }
 
-// Drop removes a job that the store did not take.
+// Drop removes a job that the store did not accept.
 func (c *Cell) Drop(id string) {
 	j := c.jobs[id]
 	if j == nil || j.stored {
@@ -205,7 +205,7 @@
 	delete(c.jobs, id)
 }
 
-// Restore adds a job that the store has.
+// Restore adds a job that was read from the store, with its record if it has one.
 func (c *Cell) Restore(spec *flow.Spec, rec *flow.Record, arrived, now time.Time) {
 	if c.jobs[spec.ID] != nil {
 		return
@@ -218,8 +218,9 @@
 	}
 }
 
-// add adds a job that arrived at one time and is taken in now. What it does not know of
-// the end of a job that is over happens now, never at its arrival.
+// add adds a job that arrived at one time and becomes known to this cell now. A job that has
+// already ended counts as ended now rather than at its arrival, as the time of its end is not
+// known.
 func (c *Cell) add(spec *flow.Spec, rec *flow.Record, arrived, now time.Time) *job {
 	j := &job{spec: spec, state: flow.Pending, arrived: arrived, hall: spec.Hall}
 	j.share, _ = spec.Share(c.Name)
@@ -323,8 +324,7 @@
 	return true
 }
 
-// State returns the state of a job that may be shown, and whether the job is
-// known.
+// State returns the state of a job as clients may see it, and whether the job is known to them.
 func (c *Cell) State(id string) (flow.State, bool) {
 	if o, ok := c.retired[id]; ok {
 		return o.state, true
@@ -343,13 +343,13 @@
 	return flow.Pending, true
 }
 
-// Known reports whether a job is here, kept or not.
+// Known reports whether the cell has a job, stored or not.
 func (c *Cell) Known(id string) bool {
 	_, over := c.retired[id]
 	return over || c.jobs[id] != nil
 }
 
-// finish ends a job. Its runs are stopped by the next Place.
+// finish ends a job. The next Place stops its runs.
 func (c *Cell) finish(j *job, state flow.State, now time.Time) {
 	j.state, j.ended = state, now
 	c.finished = append(c.finished, j)
@@ -368,9 +368,9 @@
 	}
 }
 
-// mayStartIn reports whether tasks of s may start on the workers of a hall. Those of
-// the job's own hall may at once, as every owner reckons with that; of any other
-// the store is told first.
+// mayStartIn reports whether tasks of s may start on the workers of a hall. Those of the job's own
+// hall may start at once, as every owner takes that hall into account; any other hall is recorded
+// in the store first.
 func (c *Cell) mayStartIn(s *stage, hall string) bool {
 	if (hall != "" && hall == s.job.spec.Hall) || slices.Contains(s.storedHalls, hall) {
 		return true
@@ -382,8 +382,8 @@
 	return false
 }
 
-// heldUp reports whether a former owner may have started tasks of s on a worker of
-// which it is not known yet.
+// heldUp reports whether a former owner may have started tasks of s on a worker that has not listed
+// its runs to this owner yet.
 func (c *Cell) heldUp(s *stage, unsettled *unsettled) bool {
 	return s.job.restored && (unsettled.any ||
 		unsettled.halls[s.job.spec.Hall] || slices.ContainsFunc(s.inheritedHalls, func(h string) bool { return unsettled.halls[h] }))
--- a/cell/late.go
+++ b/cell/late.go
@@ -8,44 +8,43 @@
 	"dewpass.org/flow"
 )
 
-// minLateStart is how long a step has waited for the last of its tasks to start for that to be told.
+// minLateStart is how long a step has to wait until its last task starts for this to be reported.
 const minLateStart = 250 * time.Millisecond
 
-// Asking is what a step waits for while a question to the policy about it is under way and none
-// of the workers that may run it has room.
-const Asking Why = "asking"
+// Asking: the policy is being asked about the step, and no worker that may run it has room.
+const Asking WaitReason = "asking"
 
-// LateStart is a step of which the last task was started late.
+// LateStart is a step whose last task was started late.
 type LateStart struct {
 	Step     flow.StepID
 	Queue    string
 	Priority int
 	Account  string
 	Tasks    int
-	// Waited is how long it waited in all, and For how long for what.
+	// Waited is the total wait of the step, and For is its duration by reason.
 	Waited time.Duration
-	For    map[Why]time.Duration
+	For    map[WaitReason]time.Duration
 }
 
-// waitTimes is what a step has waited for since it was ready.
+// waitTimes sums up the time that a step has waited since it was ready.
 type waitTimes struct {
 	since    time.Time
-	why      Why
-	byReason map[Why]time.Duration
+	why      WaitReason
+	byReason map[WaitReason]time.Duration
 }
 
-// setWaitReason notes what s waits for from now on.
-func (s *stage) setWaitReason(why Why, now time.Time) {
+// setWaitReason sets what s waits for from now on, "" for nothing.
+func (s *stage) setWaitReason(why WaitReason, now time.Time) {
 	if s.waitTimes.why != "" {
 		if s.waitTimes.byReason == nil {
-			s.waitTimes.byReason = make(map[Why]time.Duration)
+			s.waitTimes.byReason = make(map[WaitReason]time.Duration)
 		}
 		s.waitTimes.byReason[s.waitTimes.why] += now.Sub(s.waitTimes.since)
 	}
 	s.waitTimes.why, s.waitTimes.since = why, now
 }
 
-// allStarted takes in that no task of s waits any more, and tells of it if that took long.
+// allStarted records that no task of s waits any more, and reports a late start.
 func (c *Cell) allStarted(s *stage, q *Queue, a *Actions, now time.Time) {
 	s.setWaitReason("", now)
 	if waited := now.Sub(s.waitingSince); waited >= minLateStart {
@@ -57,8 +56,8 @@
 	s.waitTimes = waitTimes{}
 }
 
-// waitReason returns what s waits for, where why is what its placement said.
-func (c *Cell) waitReason(s *stage, why Why, now time.Time) Why {
+// waitReason returns what s waits for, where why is the result of its placement.
+func (c *Cell) waitReason(s *stage, why WaitReason, now time.Time) WaitReason {
 	if why != NoWorker && why != Full {
 		return why
 	}
--- a/cell/look.go
+++ b/cell/look.go
@@ -4,24 +4,24 @@
 
 import "time"
 
-// A look at a worker renews its lease and brings the ends of its runs, which it answers with
-// at once, and how its runs fare. Looks cost the link of the owner more than anything else
-// that it does: 240 a second for 120 workers, with all that runs there in each answer, filled
-// a link of 2 Mbit/s. So a worker is looked at as often as what runs there has to be watched.
+// A poll of a worker renews its lease and returns the ends of its runs, which it reports at once,
+// and the progress of its runs. Polls cost more of the owner's link than anything else it does: 240
+// polls a second for 120 workers, each answer listing all runs, filled a link of 2 Mbit/s. So each
+// worker is polled only as often as its runs have to be watched.
 
 const (
-	// minPollInterval is how often a worker is looked at where answer times have to be followed
-	// or a run may stand still: as often as workers renew their figures.
+	// minPollInterval applies where latencies have to be followed or a run may stall; workers renew
+	// their figures at this interval.
 	minPollInterval = 500 * time.Millisecond
-	// checkpointPollInterval is the same where runs save their work: what the owner knows of it is as
-	// old when the worker is lost.
+	// checkpointPollInterval applies where runs save checkpoints: the owner's knowledge of a
+	// checkpoint is up to this old when the worker is lost.
 	checkpointPollInterval = time.Second
-	// maxPollInterval is as long as a worker waits, a third of the shortest lease.
+	// maxPollInterval is the longest poll interval, a third of the shortest lease.
 	maxPollInterval = 2 * time.Second
 )
 
-// LookWithin returns for how long a worker may wait for an end before it has to say how its
-// runs fare.
+// MaxPollWait returns how long a worker may wait for the end of a run before it has to answer a
+// poll with the progress of its runs.
 func (c *Cell) LookWithin(id string) time.Duration {
 	w := c.workers[id]
 	if w == nil {
@@ -37,12 +37,12 @@
 	return max(wait, minPollInterval)
 }
 
-// pollWithin returns how long r, on w, may go without being looked at.
+// pollWithin returns the longest time between polls that r, on w, allows.
 func (r *run) pollWithin(w *worker) time.Duration {
 	def := r.stage.def
 	switch {
 	case def.TargetMS > 0 && w.fillerRuns > 0:
-		// Its answer times say how fast the runs that fill may work.
+		// The speed of the filler runs is set by the latencies of this run.
 		return minPollInterval
 	case def.Lasting && r.percent >= 100:
 		return maxPollInterval
--- a/cell/loss.go
+++ b/cell/loss.go
@@ -8,21 +8,22 @@
 	"dewpass.org/flow"
 )
 
-// Loss is what shows that nothing runs on a worker any more.
+// Loss is the kind of evidence that nothing runs on a worker any more.
 type Loss string
 
-// How a worker is lost.
+// The kinds of loss.
 const (
-	// LossReborn: another life answers at its address, so that this one has ended.
+	// LossReborn: a new incarnation answers at the worker's address, so the earlier one has ended.
 	LossReborn Loss = "reborn"
-	// LossRefused: its leases are over, and its address refused connections by then.
+	// LossRefused: the worker's leases have expired, and its address was refusing connections by
+	// then.
 	LossRefused Loss = "refused"
-	// LossSilent: its leases are over, and nothing tells a worker that has ended from one
-	// that is cut off.
+	// LossSilent: the worker's leases have expired, and it cannot be told whether it has ended or
+	// is cut off.
 	LossSilent Loss = "silent"
-	// LossPlanned: its machine was taken down on this owner's word.
+	// LossPlanned: the worker's machine was taken down with this owner's consent.
 	LossPlanned Loss = "planned"
-	// LossMissing: the worker is there and does not list the run, nor its end.
+	// LossMissing: the worker is reachable but lists neither the run nor its end.
 	LossMissing Loss = "missing"
 )
 
@@ -32,28 +33,28 @@
 	Run    int
 	Worker string
 	Loss   Loss
-	// Began says that the worker was known to have the run, and Age how long after the
-	// decision to start it the worker was last heard.
+	// Began means that the worker was known to have the run. Age is the time from the decision to
+	// start the run until the worker was last heard from.
 	Began bool
 	Age   time.Duration
 	// Beside counts the other runs that were lost with the same worker.
 	Beside int
-	// Blame is how the run is blamed for the loss, empty if it is not counted, and Crashes
-	// counts what is held against its task by now.
+	// Blame is the run's part in the loss, empty if the loss does not count against its task.
+	// Crashes counts the losses that now count against the task.
 	Blame   flow.Blame
 	Crashes int
-	// Leaving says that the worker had said that it leaves.
+	// Leaving means that the worker had announced that it leaves.
 	Leaving bool
 }
 
-// LostRuns returns the runs that were lost since the last call, in their order.
+// LostRuns returns the runs lost since the last call, in order.
 func (c *Cell) LostRuns() []LostRun {
 	out := c.lostRuns
 	c.lostRuns = nil
 	return out
 }
 
-// lostRun returns what is told of a run that is lost with its worker.
+// lostRun returns the report of r being lost with its worker.
 func (r *run) lostRun(how Loss, now time.Time) LostRun {
 	l := LostRun{
 		Task: r.task(), Run: r.number, Worker: r.worker.ID, Loss: how, Began: !r.confirmedAt.IsZero(),
--- a/cell/over.go
+++ b/cell/over.go
@@ -10,26 +10,26 @@
 	"dewpass.org/flow"
 )
 
-// Over is a job that is over, without its tasks.
+// EndedJob is a job that has ended, without its tasks.
 type Over struct {
 	ID    string
 	State flow.State
-	// Foreign says that another cell has the job, and writes its end.
+	// Foreign means that the job belongs to another cell, which writes its end.
 	Foreign bool
 }
 
-// retiredJob is what is remembered of a job that is retiredJob.
+// retiredJob is what is kept of a job after its tasks have been forgotten.
 type retiredJob struct {
 	state flow.State
-	// since is when the job was retired, after its end could be shown.
+	// since is when the job was retired, after its end was visible to clients.
 	since   time.Time
 	foreign bool
-	// account alone may use the job, "" if all may.
+	// account is the only account that may use the job, "" if all may.
 	account string
 }
 
-// Ended returns the jobs that have ended since the last call. The caller archives
-// their ends, those that did not succeed once State shows them.
+// Ended returns the jobs that have ended since the last call. The caller archives their ends; for
+// jobs that did not succeed, only once State shows the end.
 func (c *Cell) Ended() []Over {
 	var out []Over
 	for _, j := range c.finished {
@@ -39,8 +39,8 @@
 	return out
 }
 
-// Archived says that the store has the end of a job apart from its record. That a
-// job has succeeded is a fact whoever wrote it, and is shown from then on.
+// Archived reports to the cell that the store has the end of a job apart from its record. That a
+// job has succeeded is final whoever wrote it, and is visible to clients from then on.
 func (c *Cell) Archived(id string) {
 	if j := c.jobs[id]; j != nil {
 		j.archived = true
@@ -50,15 +50,15 @@
 	}
 }
 
-// Retire forgets the tasks of jobs that are over, and archived, for longer than
-// after. It returns these jobs; their state is remembered until Expire.
+// Retire forgets the tasks of jobs that are archived and ended longer than after ago. It returns
+// these jobs; their state is kept until Expire.
 func (c *Cell) Retire(after time.Duration, now time.Time) []Over {
 	var out []Over
 	for id, j := range c.jobs {
 		if j.archived && j.storedState == j.state && !j.dirty && now.Sub(j.ended) > after {
 			out = append(out, Over{ID: id, State: j.state, Foreign: j.share.Foreign()})
-			// Clients can learn of the end only once it is archived: what an
-			// operator lets them ask for counts from then, whenever it ended.
+			// Clients can see the end only once it is archived, so the time for which an operator
+			// lets them query it counts from now, whenever the job ended.
 			c.retired[id] = retiredJob{state: j.state, since: now, foreign: j.share.Foreign(), account: c.exclusiveAccount(j)}
 			delete(c.jobs, id)
 		}
@@ -67,14 +67,15 @@
 	return out
 }
 
-// Expired is a job that Expire forgot, and for how long it was remembered.
+// Expired is a job that Expire forgot, with the time since it was retired.
 type Expired struct {
 	ID      string
 	Age     time.Duration
 	Foreign bool
 }
 
-// Cells returns the cells that run tasks of a job, its own first, nil if it is not known or over.
+// Cells returns the cells that run tasks of a job, its own first; nil if the job is not known or
+// retired.
 func (c *Cell) Cells(id string) []string {
 	if j := c.jobs[id]; j != nil {
 		return j.spec.Cells()
@@ -82,8 +83,8 @@
 	return nil
 }
 
-// Foreign returns the jobs that another cell has and of which this one runs a part, or did so
-// until it heard of their end.
+// Foreign returns the jobs of other cells of which this cell runs a part, and whose end is not
+// archived yet.
 func (c *Cell) Foreign() []string {
 	var out []string
 	for id, j := range c.jobs {
@@ -95,11 +96,11 @@
 	return out
 }
 
-// Expire forgets the jobs that are over for longer than keep and returns them.
-func (c *Cell) Expire(keep time.Duration, now time.Time) []Expired {
+// Expire forgets the jobs that were retired longer than keep ago and returns them.
+func (c *Cell) Expire(retention time.Duration, now time.Time) []Expired {
 	var out []Expired
 	for id, o := range c.retired {
-		if age := now.Sub(o.since); age > keep {
+		if age := now.Sub(o.since); age > retention {
 			out = append(out, Expired{ID: id, Age: age, Foreign: o.foreign})
 			delete(c.retired, id)
 		}
--- a/cell/pace.go
+++ b/cell/pace.go
@@ -9,20 +9,20 @@
 )
 
 const (
-	// Tasks that fill are slowed down when the tail of a task that serves beside
-	// them is above slowDownAbove hundredths of its target, and let go on when it is
-	// below paceLow.
+	// Filler tasks are slowed down when the tail latency of a serving task on the same worker is
+	// above slowDownAbove percent of its target, and sped up again when it is below speedUpBelow
+	// percent.
 	slowDownAbove = 90
 	speedUpBelow  = 65
-	// slowDownStep and paceUp are the steps, in hundredths of full speed: fast down,
-	// slow up, each no sooner than the tail can show what the last one did.
+	// The steps, in percent of full speed, and the intervals between them: fast down and slow up,
+	// and no faster than the tail latency can show the effect of the previous step.
 	slowDownStep     = 50
 	speedUpStep      = 20
 	slowDownInterval = 700 * time.Millisecond
 	speedUpInterval  = 2 * time.Second
 )
 
-// Pace sets how fast a run may work, in hundredths.
+// Pace sets how fast a run may work, in percent of full speed.
 type Pace struct {
 	Worker, Addr string
 	Task         flow.TaskID
@@ -30,7 +30,7 @@
 	Percent      int
 }
 
-// decidePaces decides how fast the runs that fill may work on each worker.
+// decidePaces sets how fast the filler runs on each worker may work.
 func (c *Cell) decidePaces(a *Actions, now time.Time) {
 	for _, w := range c.sortedWorkers {
 		if !w.attached || (w.fillerRuns == 0 && w.throttlePercent == 0) {
@@ -47,7 +47,7 @@
 	}
 }
 
-// setPace follows the worst tail of the tasks that serve on w.
+// setPace adjusts the throttling on w to the worst tail latency of the serving tasks there.
 func (w *worker) setPace(now time.Time) {
 	worst := w.worstTail()
 	since := now.Sub(w.pacedAt)
@@ -62,8 +62,8 @@
 	w.pacedAt = now
 }
 
-// worstTail returns the highest tail of a task that serves, in hundredths of its
-// target; 0 if none serves.
+// worstTail returns the highest tail latency of a serving task, in percent of its target; 0 if
+// there is none.
 func (w *worker) worstTail() int64 {
 	var worst int64
 	for _, r := range w.runList {
--- a/cell/place.go
+++ b/cell/place.go
@@ -12,15 +12,15 @@
 )
 
 const (
-	// adviceLead is added to the time that advice takes when it is asked for
-	// before its step opens.
+	// adviceLead is added to the time that an answer takes when the policy is asked before a step
+	// opens.
 	adviceLead = 250 * time.Millisecond
-	// runCheckInterval spaces the looks over all runs, for those that stand still or have
-	// to leave. What somebody decided about a run is seen at once.
+	// runCheckInterval is the time between checks of all runs for those that stall or have to move.
+	// Decisions about a run, such as a cancel, trigger a check at once.
 	runCheckInterval = 50 * time.Millisecond
 )
 
-// Start is a run to start.
+// Start is an order to start a run.
 type Start struct {
 	Worker, Addr string
 	Task         flow.TaskID
@@ -30,27 +30,27 @@
 	Ticket       string
 }
 
-// Stop is a run to stop.
+// Stop is an order to stop a run.
 type Stop struct {
 	Worker, Addr string
 	Task         flow.TaskID
 	Run          int
 }
 
-// Actions are what is to be done.
+// Actions are the decisions of one call of Place.
 type Actions struct {
 	Starts []Start
 	Stops  []Stop
 	Asks   []Ask
 	Paces  []Pace
-	// Waits are steps that have waited for long and wait on.
+	// Waits are the steps that have waited for long and still wait.
 	Waits []Wait
-	// Late are steps of which the last task starts now, late.
+	// Late are the steps whose last waiting task starts now, after a long wait.
 	Late []LateStart
 }
 
-// Place decides what to do now. At most asks questions are under way at once.
-// wall is the time of day, against which due times are held.
+// Place decides what to do now. asks limits the number of questions in flight. wall is the time of
+// day, with which due times are compared.
 func (c *Cell) Place(now, wall time.Time, asks int) Actions {
 	var a Actions
 	if c.runsNeedCheck || now.Sub(c.runsCheckedAt) >= runCheckInterval {
@@ -61,7 +61,7 @@
 	c.pruneOpenStages()
 	c.expireUnmatchedEnds(now)
 	c.sortOpenStages(now)
-	unsettled, most, inDoubt := c.unsettled(), c.mostFree(), c.stagesInDoubt()
+	unsettled, mostFree, inDoubt := c.unsettled(), c.mostFree(), c.stagesInDoubt()
 	c.countPossiblyUsed(&unsettled, now)
 	c.countTrials(now)
 	c.sendBudgetLeft, c.sendLimited, c.maxAsks = c.sendBudget, false, asks
@@ -99,7 +99,7 @@
 			why = LimitReached
 		case s.def.Gang:
 			c.placeGang(s, q, &a, now)
-		case !most.Covers(&room):
+		case !mostFree.Covers(&room):
 			why = Full
 		default:
 			c.placeTasks(s, q, &a, now)
@@ -126,7 +126,7 @@
 	return a
 }
 
-// mostFree returns what no worker has more of to give.
+// mostFree returns, for each dimension, the largest amount free on any usable worker.
 func (c *Cell) mostFree() sched.Vec {
 	var most sched.Vec
 	for _, w := range c.sortedWorkers {
@@ -140,7 +140,7 @@
 	return most
 }
 
-// pruneOpenStages forgets stages that have nothing left to place.
+// pruneOpenStages removes the stages that have nothing left to place.
 func (c *Cell) pruneOpenStages() {
 	c.openStages = slices.DeleteFunc(c.openStages, func(s *stage) bool {
 		return (s.waiting == 0 && !s.needsMove) || s.job.state.Final()
@@ -154,7 +154,7 @@
 	return q.Advice.Decide + time.Duration(min(len(c.sortedWorkers), minAskWorkers))*q.Advice.Each + adviceLead
 }
 
-// opensWithin guesses whether the steps before s are done within d.
+// opensWithin estimates whether the steps before s will be done within d.
 func (c *Cell) opensWithin(s *stage, d time.Duration, now time.Time) bool {
 	for _, b := range s.def.After {
 		before := s.job.stage(s.time, b)
@@ -176,7 +176,7 @@
 	return true
 }
 
-// remaining guesses how long r still runs.
+// remaining estimates how much longer r will run.
 func (r *run) remaining(now time.Time) time.Duration {
 	if r.confirmedAt.IsZero() {
 		return r.stage.def.Estimate()
@@ -190,9 +190,10 @@
 	return max(whole-ran, 0)
 }
 
-// rank orders stages, smaller first: by priority, then those within the share of their client
-// account before those beyond it, then by whether they can still be in time (0), count as late (1) or for nothing (2), then by the time that is
-// left beyond the work still to do.
+// rank orders stages, smaller first: by priority; then jobs within the share of their client
+// account before those beyond it; then by late, which is 0 for a stage that can still meet its
+// objective, 1 for one that is late and 2 for one that is so late that it counts for nothing; then
+// by slack, the time left beyond the work still to do.
 type rank struct {
 	priority    int
 	beyondShare bool
@@ -224,7 +225,7 @@
 
 const lowestPriority = 1 << 30
 
-// sortOpenStages orders the open stages. Each is ranked once.
+// sortOpenStages ranks each open stage once and sorts the stages by rank.
 func (c *Cell) sortOpenStages(now time.Time) {
 	for _, s := range c.openStages {
 		s.rank = c.rank(s, now)
@@ -254,17 +255,17 @@
 	return 1
 }
 
-// placeTasks starts as many of the tasks of s as find room.
+// placeTasks starts as many of the waiting tasks of s as find room.
 func (c *Cell) placeTasks(s *stage, q *Queue, a *Actions, now time.Time) {
 	c.chooseHall(s, q, now)
 	if s.def.Lasting {
-		// Others rely on a task that was at work before: it comes back first.
+		// Other systems depend on a task that was already running, so it restarts first.
 		c.placeWhere(s, q, a, now, func(t *task) bool { return t.state == taskWaiting && t.lastRun > 0 })
 	}
 	c.placeWhere(s, q, a, now, func(t *task) bool { return t.state == taskWaiting })
 }
 
-// placeWhere starts as many of some tasks of s as find room.
+// placeWhere starts as many of the matching tasks of s as find room.
 func (c *Cell) placeWhere(s *stage, q *Queue, a *Actions, now time.Time, which func(*task) bool) {
 	for i := range s.tasks {
 		t := &s.tasks[i]
@@ -289,15 +290,14 @@
 	}
 }
 
-// pick is a worker chosen for a member of a gang.
+// pick is the worker chosen for one member of a gang.
 type pick struct {
 	worker *worker
 	ticket string
 }
 
-// placeGang starts all tasks of s, or none. A try that finds no room for all leaves
-// nothing behind, no number of a run either: a gang may wait for long, and the
-// numbers of an owner are few.
+// placeGang starts all tasks of s or none. A failed attempt leaves no trace and uses up no run
+// number: a gang may wait for long, and an owner has few run numbers.
 func (c *Cell) placeGang(s *stage, q *Queue, a *Actions, now time.Time) {
 	if s.waiting < len(s.tasks) || !c.mayTryGang(s, now) {
 		return
@@ -323,8 +323,8 @@
 	s.gangLastRun = n
 }
 
-// pickGang chooses the workers for all tasks of s. It reports whether each has one
-// on which it may start.
+// pickGang chooses the workers for all tasks of s. It reports whether there is one for each task on
+// which it may start.
 func (c *Cell) pickGang(s *stage, q *Queue, now time.Time) ([]pick, bool) {
 	var picks []pick
 	room := s.def.Room()
@@ -346,7 +346,7 @@
 	return picks, true
 }
 
-// startRun puts a run on the books.
+// startRun records a new run of a task on w and returns the order to start it.
 func (c *Cell) startRun(s *stage, index int, w *worker, n int, ticket string, now time.Time) Start {
 	t := &s.tasks[index]
 	s.setWaiting(t, false)
@@ -370,14 +370,14 @@
 	return start
 }
 
-// startOverheadBytes is about how many bytes an order to start a run has on the wire beside its
-// texts: names, fences and headers.
+// startOverheadBytes is the approximate size of an order to start a run without its texts: names,
+// fencing tokens and headers.
 const startOverheadBytes = 450
 
-// Size returns about how many bytes the order has on the wire.
+// Size returns the approximate size of the order on the wire, in bytes.
 func (s *Start) Size() int { return startOverheadBytes + len(s.Text) + len(s.Saved) + len(s.Ticket) }
 
-// sendSize returns about how many bytes a start takes of this instance's link.
+// sendSize returns the approximate number of bytes that a start takes of this instance's link.
 func (c *Cell) sendSize(start *Start) int {
 	if c.textShared {
 		return start.CarriedSize()
@@ -386,24 +386,26 @@
 }
 
 const (
-	// carriedOverheadBytes is about how many bytes an order has in the message to the instance
-	// that carries it beside its texts.
+	// carriedOverheadBytes is the approximate size, without its texts, of an order in a message to
+	// the instance that carries it.
 	carriedOverheadBytes = 100
-	// startsPerText is how many starts share a text that one instance was given: as many as a
-	// job has tasks on average, over the few instances that carry them.
+	// startsPerText is the number of starts that share one copy of a text sent to an instance: the
+	// average number of tasks of a job, divided among the few instances that carry them.
 	startsPerText = 8
 )
 
-// CarriedSize returns about how many bytes the order takes where another instance carries it.
+// CarriedSize returns the approximate size, in bytes, of the order in a message to another instance
+// that carries it.
 func (s *Start) CarriedSize() int {
 	return carriedOverheadBytes + len(s.Text)/startsPerText + len(s.Saved) + len(s.Ticket)
 }
 
-// SendMost says how many bytes the orders of the next decision may have, and whether those of
-// a step share their text. Starts that would only wait at this instance's own link are not
-// decided, so that the most urgent goes first whenever there is room to send, and no answer
-// is late for that wait. A gang goes whole.
+// SetSendBudget sets how many bytes the orders of the next decision may take, and whether the
+// starts of a step share their text. Starts that would only queue at this instance's own link are
+// not decided, so that the most urgent task always goes first when there is room to send and no
+// answer is delayed by that queue. A gang is always sent whole.
 func (c *Cell) SendMost(bytes int, shared bool) { c.sendBudget, c.textShared = bytes, shared }
 
-// HeldBack reports whether the last decision left out starts for want of room to send.
+// SendLimited reports whether the last decision left out starts because the send budget was used
+// up.
 func (c *Cell) HeldBack() bool { return c.sendLimited }
--- a/cell/reserve.go
+++ b/cell/reserve.go
@@ -10,45 +10,44 @@
 	"dewpass.org/sched"
 )
 
-// Large tasks need much room in one piece. Where small tasks take each bit of room as it
-// comes free, that piece hardly ever comes, and where a policy has to be asked first,
-// others have taken it when the answer is there. So a step of large tasks that finds no
-// room has some reserved. What comes after it in the order gets only what is
-// left, the policy is asked ahead of the moment at which the room comes free, and tasks of
-// less urgent queues that can go on where they stopped yield.
+// A large task needs much room on a single worker. Small tasks that take every bit of room as it
+// comes free hardly ever leave so much at once, and if a policy has to be asked first, others have
+// taken the room before the answer arrives. So a step of large tasks that finds no room gets some
+// reserved. Stages that come after it in the order get only what is left, the policy is asked
+// before the room comes free, and tasks of less urgent queues that can resume from a checkpoint
+// yield.
 
 const (
-	// maxLargePerWorker is how many tasks of a step an empty worker holds at most for them to be
-	// large. Smaller ones find room soon, as often as a task of any kind ends;
-	// reservations for gangs of small tasks, tried, made the calls beside them late.
+	// maxLargePerWorker is the largest number of a step's tasks that an empty worker holds for the
+	// tasks to count as large. Smaller tasks find room soon, whenever any task ends; reservations
+	// for gangs of small tasks were tried, and delayed the calls beside them.
 	maxLargePerWorker = 2
-	// reserveInterval spaces the choices of workers for one step: as often as a driver decides
-	// when nothing happens.
+	// reserveInterval is the time between choices of workers for one step: as often as a driver
+	// decides when nothing happens.
 	reserveInterval = 100 * time.Millisecond
-	// reserveSwitchGain is how much sooner another worker must be free for a reservation to
-	// move there.
+	// reserveSwitchGain is how much sooner another worker must have room for a reservation to move
+	// there.
 	reserveSwitchGain = 300 * time.Millisecond
-	// minYieldGain is how long room that comes free by itself is waited for. A task that
+	// Runs that end within minYieldGain are waited for rather than made to yield: a task that
 	// yields has to be stopped and to read its checkpoint, which takes about as long.
 	minYieldGain = 500 * time.Millisecond
-	// maxYields is how often one task may be made to yield.
+	// maxYields limits how often one task may be made to yield.
 	maxYields = 2
-	// stopDuration is about how long it takes until the room of a run that is stopped is
-	// free: half of the longest that workers take for a stop.
+	// stopDuration is the approximate time until the room of a stopped run is free: half of the
+	// longest time that workers take for a stop.
 	stopDuration = 250 * time.Millisecond
 )
 
-// reservation is the room that is held for a step until its tasks can start there: how
-// many tasks on each.
+// reservation is the room held for a step until its tasks can start: how many tasks on each worker.
 type reservation struct {
 	workers  map[*worker]int
 	chosenAt time.Time
 }
 
-// offer is what a worker could do for a step.
+// offer is the room that a worker can provide for a step.
 type offer struct {
 	worker *worker
-	// tasks is how many it has room for, and wait how long until it has.
+	// tasks is how many tasks fit, and wait how long until they do.
 	tasks int
 	wait  time.Duration
 }
@@ -68,7 +67,7 @@
 	}
 }
 
-// large reports whether the tasks of s are large for all workers that may run it.
+// large reports whether the tasks of s are large for every worker that may run it.
 func (c *Cell) large(s *stage, q *Queue) bool {
 	few := s.def.Room().Scale(maxLargePerWorker + 1)
 	for _, w := range c.sortedWorkers {
@@ -79,8 +78,7 @@
 	return true
 }
 
-// reservationHolds reports whether all workers of the reservation can still be given
-// something.
+// reservationHolds reports whether all workers of the reservation are still usable.
 func (s *stage) reservationHolds() bool {
 	for w := range s.reservation.workers {
 		if !w.usable() {
@@ -90,8 +88,8 @@
 	return true
 }
 
-// newReservation chooses the workers on which the tasks of s that wait can start soonest. A
-// gang gets room for all of its members or none.
+// newReservation chooses the workers on which the waiting tasks of s can start soonest. A gang gets
+// room for all of its members or none.
 func (c *Cell) newReservation(s *stage, q *Queue, now time.Time) reservation {
 	var offers []offer
 	for _, w := range c.mayRun(s, q) {
@@ -120,8 +118,8 @@
 	return out
 }
 
-// mayRun returns the workers that may run s as far as is known, whether or not its
-// tickets still hold.
+// mayRun returns the workers that may run s as far as is known, including those whose tickets have
+// expired.
 func (c *Cell) mayRun(s *stage, q *Queue) []*worker {
 	var out []*worker
 	if q.Advice == nil {
@@ -133,8 +131,8 @@
 	return slices.DeleteFunc(out, func(w *worker) bool { return !w.usable() || !w.suits(s, q) })
 }
 
-// offer returns how many tasks of s a worker can take beside what is reserved, and
-// how long until it has room for them.
+// offer returns how many tasks of s a worker can take besides what is reserved, and how long until
+// it has room for them.
 func (c *Cell) offer(w *worker, s *stage, q *Queue, now time.Time) offer {
 	o := offer{worker: w}
 	room := s.def.Room()
@@ -165,10 +163,11 @@
 	return o
 }
 
-// neverFrees is how long a task that lasts runs on.
+// neverFrees is the assumed remaining time of a lasting task; a worker that would need so long
+// makes no offer.
 const neverFrees = time.Hour
 
-// timeUntilFree guesses how long until the room of r is free for a task of queue q.
+// timeUntilFree estimates how long until the room of r is free for a task of queue q.
 func (c *Cell) timeUntilFree(r *run, q *Queue, now time.Time) time.Duration {
 	if r.stage.def.Lasting {
 		return neverFrees
@@ -180,8 +179,8 @@
 	return left
 }
 
-// mayYield reports whether r may be made to yield to a task of queue q: its own queue is
-// less urgent, and it goes on where it stopped.
+// mayYield reports whether r may be made to yield to a task of queue q: its own queue is less
+// urgent, and it can resume from a checkpoint.
 func (c *Cell) mayYield(r *run, q *Queue) bool {
 	s := r.stage
 	if s.unknown || !s.def.Checkpoints || s.def.Gang || s.def.Lasting || s.def.Copies || r.confirmedAt.IsZero() {
@@ -191,8 +190,8 @@
 	return own != nil && own.Priority > q.Priority && s.tasks[r.index].yieldCount < maxYields
 }
 
-// yieldFor stops tasks so that the room reserved for s comes free, those with the most left to do
-// first, where waiting for their ends would take long.
+// yieldFor stops tasks so that the room reserved for s comes free, those with the most work left
+// first, unless the room comes free soon anyway.
 func (c *Cell) yieldFor(s *stage, q *Queue, now time.Time) {
 	room := s.def.Room()
 	for w, n := range s.reservation.workers {
@@ -203,17 +202,17 @@
 
 func (c *Cell) yield(w *worker, need sched.Vec, s *stage, q *Queue, now time.Time) {
 	free := w.free.Sub(w.reserved)
-	var may []*run
+	var yielders []*run
 	for _, r := range w.runList {
 		switch {
 		case r.stopping || r.remaining(now) <= minYieldGain:
 			free = free.Add(r.taken)
 		case c.mayYield(r, q):
-			may = append(may, r)
+			yielders = append(yielders, r)
 		}
 	}
-	slices.SortStableFunc(may, func(a, b *run) int { return cmp.Compare(b.remaining(now), a.remaining(now)) })
-	for _, r := range may {
+	slices.SortStableFunc(yielders, func(a, b *run) int { return cmp.Compare(b.remaining(now), a.remaining(now)) })
+	for _, r := range yielders {
 		if free.Covers(&need) {
 			return
 		}
@@ -228,7 +227,7 @@
 	}
 }
 
-// fillsShortage reports whether taken has something of what free lacks of need.
+// fillsShortage reports whether taken includes some of what free lacks of need.
 func fillsShortage(free, need, taken *sched.Vec) bool {
 	for d := range need {
 		if need[d] > free[d] && taken[d] > 0 {
--- a/cell/run.go
+++ b/cell/run.go
@@ -15,37 +15,38 @@
 	n    int
 }
 
-// run is one start of a task.
+// run is one attempt to run a task on a worker.
 type run struct {
 	stage  *stage
 	index  int
 	number int
 	worker *worker
-	// confirmedAt is when the worker was first known to have it; zero is not yet.
+	// confirmedAt is when the worker was first known to have the run, zero if it is not known to
+	// have it.
 	confirmedAt time.Time
 	decidedAt   time.Time
 	stopping    bool
 	stopSent    time.Time
 	percent     int
-	// lastProgress is when percent last changed, and lastListed when it was last
-	// lastListed.
+	// lastProgress is when percent last changed, and lastListed when the worker last listed the
+	// run.
 	lastProgress, lastListed time.Time
 	checkpoint               string
 	taken                    sched.Vec
-	// tail is the worker's figure of how it fares, and withheld how much of its
-	// speed it was told to do without, in hundredths; -1 is not known.
+	// tail is the figure described at Running.Tail. throttlePercent is the reduction of its speed
+	// that the worker was last told, in percent; -1 if that is not known.
 	tail            int64
 	throttlePercent int
-	// listSeq is that of the cell when the run was last listed.
+	// listSeq is the cell's listSeq when the run was last listed.
 	listSeq int
-	// trialUntil is until when it is watched as one that may crash its worker, zero if it
-	// is not.
+	// trialUntil is the end of the period in which the run is watched because it may crash its
+	// worker, zero if it is not on trial.
 	trialUntil time.Time
 }
 
 func (r *run) task() flow.TaskID { return r.stage.taskID(r.index) }
 
-// confirm notes that the worker has the run: its job has begun.
+// confirm records that the worker has the run, and so that its job has begun.
 func (c *Cell) confirm(r *run, now time.Time) {
 	r.confirmedAt, r.lastProgress = now, now
 	r.stage.job.began = true
@@ -53,7 +54,7 @@
 	c.noteChange(r, RunBegan)
 }
 
-// addRun puts a run on the books of a worker.
+// addRun adds a run to a worker and charges its room and its account.
 func (w *worker) addRun(r *run) {
 	w.runs[runKey{r.task(), r.number}] = r
 	w.runList = append(w.runList, r)
@@ -67,7 +68,7 @@
 	}
 }
 
-// removeRun takes a run off the books.
+// removeRun removes a run from its worker and its task and releases its room.
 func (c *Cell) removeRun(r *run) {
 	r.endTrial(false)
 	delete(r.worker.runs, runKey{r.task(), r.number})
--- a/cell/save.go
+++ b/cell/save.go
@@ -9,30 +9,30 @@
 	"dewpass.org/flow"
 )
 
-// Save is a record that the store has to keep.
+// Save is a job record for the store to write.
 type Save struct {
 	ID     string
 	Record *flow.Record
 	Story  Story
-	// Foreign says that another cell has the job.
+	// Foreign means that the job belongs to another cell.
 	Foreign bool
 }
 
-// Story is what this owner has seen of a job, for those who ask why it was late.
+// JobHistory is what this owner has seen of a job, for finding out why it was late.
 type Story struct {
-	// Began is how long after its acceptance the first task was started here.
+	// Began is the time from the job's acceptance until its first task was started here.
 	Began time.Duration
-	// Took is how long after its acceptance the job ended.
+	// Took is the time from the job's acceptance until its end.
 	Took time.Duration
-	// Runs counts the starts, Failed the failed ones, and Lost those that ended
-	// with a lease or a worker.
+	// Runs counts the starts, Failed the failed runs, and Lost those that ended with a lease or a
+	// worker.
 	Runs, Failed, Lost int
-	// Yields counts how often its tasks were stopped for more urgent ones.
+	// Yields counts how often tasks of the job were stopped for more urgent ones.
 	Yields int
 }
 
-// Saves returns what has changed since the last call, at most limit records.
-// The caller says what became of it with Saved; there is one save at a time.
+// Saves returns the records that have changed since the last call, at most limit. The caller
+// reports the result with Saved; only one save may be in progress.
 func (c *Cell) Saves(limit int) []Save {
 	n := min(limit, len(c.dirty))
 	saves := make([]Save, 0, n)
@@ -50,8 +50,8 @@
 // Dirty reports whether there is something to save.
 func (c *Cell) Dirty() bool { return len(c.dirty) > 0 }
 
-// Saved says that the store keeps the records, or that it does not and they
-// have to be saved again.
+// Saved reports to the cell whether the store has written the records. If it has not they are saved
+// again.
 func (c *Cell) Saved(saves []Save, ok bool) {
 	for _, s := range saves {
 		j := c.jobs[s.ID]
@@ -75,7 +75,8 @@
 	}
 }
 
-// applyStored takes in which halls the store knows to be open to each stage.
+// applyStored updates what the store is known to have: the halls of each stage and the losses
+// counted against tasks.
 func (j *job) applyStored(rec *flow.Record) {
 	for at, s := range j.stages {
 		if at < len(rec.Stages) {
@@ -86,13 +87,13 @@
 	}
 }
 
-// countStoredCrashes takes in what the store has of the losses held against tasks.
-func (s *stage) countStoredCrashes(kept map[int][]flow.Crash) {
+// countStoredCrashes counts, for each task, the losses that the store has.
+func (s *stage) countStoredCrashes(stored map[int][]flow.Crash) {
 	for i := range s.tasks {
 		t := &s.tasks[i]
 		t.storedCrashes = 0
 		for _, c := range t.crashes {
-			if slices.ContainsFunc(kept[i], func(o flow.Crash) bool { return o.Run == c.Run }) {
+			if slices.ContainsFunc(stored[i], func(o flow.Crash) bool { return o.Run == c.Run }) {
 				t.storedCrashes++
 			}
 		}
--- a/cell/seek.go
+++ b/cell/seek.go
@@ -7,23 +7,23 @@
 	"time"
 )
 
-// What runs on a worker that is out of reach is over for certain only with its leases. Where a
-// policy says who may run a step, the question about it takes seconds more if it is asked only
-// then, for which the users of a task that lasts go without it.
+// The runs on an unreachable worker are certain to be over only when its leases have expired. If
+// the policy were asked for other workers only then, its answer would take seconds more, in which
+// the users of a lasting task go without it.
 
-// leaseEndLead is how long before the leases of a worker out of reach end places are looked for. Tickets
-// hold a little longer.
+// leaseEndLead is how long before the leases of an unreachable worker expire other workers are
+// looked for. It is a little shorter than the lifetime of a ticket.
 const leaseEndLead = 2 * time.Second
 
-// LeaseEnds says when the leases of a worker that is out of reach are over.
+// LeaseEnds sets when the leases of an unreachable worker expire.
 func (c *Cell) LeaseEnds(id string, at time.Time) {
 	if w := c.workers[id]; w != nil {
 		w.leaseEnd = at
 	}
 }
 
-// askBeforeLeaseEnds has the policy asked about the steps of tasks that last and are about to be lost with
-// their workers, where it lets too few others run them.
+// askBeforeLeaseEnds marks the steps of lasting tasks that are about to be lost with their workers,
+// so that the policy is asked about them, if it permits too few other workers to run them.
 func (c *Cell) askBeforeLeaseEnds(now time.Time) {
 	var steps []*stage
 	lost := make(map[*stage]int)
--- a/cell/stop.go
+++ b/cell/stop.go
@@ -8,36 +8,36 @@
 )
 
 const (
-	// stopRetryInterval spaces the orders to stop one run.
+	// stopRetryInterval is the time between orders to stop the same run.
 	stopRetryInterval = 600 * time.Millisecond
-	// A run that shows no progress for stallPercent of its estimate, in hundredths
-	// and within the two bounds, is started elsewhere.
+	// A run is restarted elsewhere when it shows no progress for stallPercent percent of its
+	// estimate, but at least minStallTime and at most maxStallTime.
 	stallPercent = 40
 	minStallTime = 500 * time.Millisecond
 	maxStallTime = 2500 * time.Millisecond
-	// gangEndGrace is how long the members of a gang may take to end after the first.
+	// gangEndGrace is how long the other members of a gang may take to end after the first one.
 	gangEndGrace = time.Second
-	// moveDuration is about how long it takes to move a task that lasts: a stop, a start and
-	// until it is at work.
+	// moveDuration is the approximate time it takes to move a lasting task: to stop it, start it
+	// elsewhere and have it at work.
 	moveDuration = time.Second
-	// finalMoveLead is how long before the end of its worker a task has to be stopped at the
-	// latest for the stop to be listed: as long as the slowest workers take for one.
+	// finalMoveLead is the latest time before its worker leaves at which a task can be stopped with
+	// the stop still being listed: the time that the slowest workers take to stop a task.
 	finalMoveLead = 900 * time.Millisecond
-	// endListingMargin is how long before the end of its worker a run has to be done: an end that
-	// comes later may be listed in an answer that never arrives, as the connection ends with the
-	// worker, and its task would run again. The worker is not asked for up to 0.25 s while the
-	// ends that it has listed are being written.
+	// endListingMargin is how long before its worker leaves a run has to be done. A later end may
+	// be listed in an answer that never arrives, as the connection closes with the worker, and the
+	// task would run again. The worker is not polled for up to 0.25 s while the ends that it has
+	// listed are being written.
 	endListingMargin = 250 * time.Millisecond
-	// copyDelay is how long a worker is out of reach before a step that may
-	// have copies is started elsewhere.
+	// copyDelay is how long a worker is unreachable before a step that allows copies is started
+	// elsewhere.
 	copyDelay = 400 * time.Millisecond
 )
 
-// Restless reports whether there are runs to stop that the last decision did not see yet.
+// RunsNeedCheck reports whether there may be runs to stop that the last decision has not
+// considered.
 func (c *Cell) Restless() bool { return c.runsNeedCheck }
 
-// decideStops decides which runs to stop: those that nobody wants any more, and those
-// that stand still.
+// decideStops stops runs that are no longer wanted, that stall, or that have to move.
 func (c *Cell) decideStops(a *Actions, now time.Time) {
 	for _, w := range c.sortedWorkers {
 		if !w.attached {
@@ -68,13 +68,13 @@
 	}
 	t := &s.tasks[r.index]
 	if t.state == taskDone {
-		// The other members of a gang end by themselves.
+		// The other members of a gang should end by themselves.
 		return !s.def.Gang || now.Sub(s.doneAt) > gangEndGrace
 	}
 	return len(t.runs) > 1 && !s.def.Copies && t.runs[0] != r
 }
 
-// checkStall marks a run that stands still for stopping.
+// checkStall marks a stalled run for stopping.
 func (c *Cell) checkStall(r *run, now time.Time) {
 	if r.confirmedAt.IsZero() || r.percent >= 100 || r.lastListed.Sub(r.lastProgress) < r.stallAfter() {
 		return
@@ -86,7 +86,7 @@
 	r.stage.tasks[r.index].avoid = append(r.stage.tasks[r.index].avoid, r.worker.ID)
 }
 
-// stallAfter returns how long r may show no progress.
+// stallAfter returns how long r may go without progress.
 func (r *run) stallAfter() time.Duration {
 	if r.stage.def.Lasting {
 		return maxStallTime
@@ -94,8 +94,8 @@
 	return min(max(r.stage.def.Estimate()*stallPercent/100, minStallTime), maxStallTime)
 }
 
-// checkLeaving marks a run for stopping whose worker leaves before it is surely known to be done,
-// if it can go on elsewhere, or at the last moment.
+// checkLeaving marks a run for stopping if its worker leaves before the run is certain to be done
+// and another worker has room for it, or at the last moment.
 func (c *Cell) checkLeaving(r *run, now time.Time) {
 	if !r.worker.leaving() || r.stopping {
 		return
@@ -103,7 +103,7 @@
 	s := r.stage
 	left := r.worker.timeUntilLeave(now)
 	last := r.worker.Draining && !s.def.Lasting && left <= endListingMargin
-	// A gang cannot be moved one by one; with the worker of a member it ends in any case.
+	// A gang cannot be moved member by member; it ends with the worker of any member.
 	if s.def.Gang && !last {
 		return
 	}
@@ -130,34 +130,35 @@
 }
 
 // mayMove reports whether a task of a lasting step may be stopped now to be moved from a worker
-// that stays for left. What a step says that it may miss holds for all that are away. Without
-// such a word as many move at once as it takes for all to be elsewhere in time.
+// that stays for left. If the step says how many of its tasks may be missing, that limit includes
+// all tasks that are away. Otherwise as many tasks move at a time as are needed to move all in
+// time.
 //
-// A worker that ends takes its runs with it in any case, and that they are over is known only
-// with their lease: so what is still there just before its end is moved whatever is away.
+// Just before the worker leaves its remaining tasks are moved however many are away: the worker
+// ends them in any case, and their end would otherwise be known only when their leases expire.
 func (s *stage) mayMove(r *run, left time.Duration, now time.Time) bool {
 	if r.worker.Draining && left <= finalMoveLead {
 		return true
 	}
 	if s.def.MayMiss > 0 {
-		// Each cell that runs a part of the step has an equal part of that.
+		// The limit is divided equally among the cells that run parts of the step.
 		return s.tasksAway() < s.def.MayMiss/max(s.job.share.Of, 1)
 	}
-	leaving, under := 0, 0
+	leaving, moving := 0, 0
 	for i := range s.tasks {
 		for _, r := range s.tasks[i].runs {
 			if r.worker.leaving() {
 				leaving++
 			}
 			if r.stopping || (!r.atWork() && now.Sub(r.decidedAt) < moveDuration) {
-				under++
+				moving++
 			}
 		}
 	}
-	return under < 1+int(time.Duration(leaving)*moveDuration/max(left, moveDuration))
+	return moving < 1+int(time.Duration(leaving)*moveDuration/max(left, moveDuration))
 }
 
-// countPlaces counts the tasks of s that would find room now. It stops at as many as s has.
+// countPlaces counts the tasks of s that would find room now, up to the number of tasks of s.
 func (c *Cell) countPlaces(s *stage, q *Queue, now time.Time) int {
 	n := 0
 	room := s.def.Room()
@@ -177,7 +178,7 @@
 	return n
 }
 
-// tasksToPlace counts the tasks of s that look for a worker, or will once they have stopped.
+// tasksToPlace counts the tasks of s that need a worker now or will once they have stopped.
 func (s *stage) tasksToPlace() int {
 	n := s.waiting
 	for i := range s.tasks {
@@ -204,16 +205,15 @@
 
 func (r *run) atWork() bool { return !r.confirmedAt.IsZero() && !r.stopping && r.percent >= 100 }
 
-// mayHaveCrashed reports whether r, on a worker that is out of reach, may be what ended it: it is on
-// trial, or the worker hung up soon after its start. A copy would be the next loss before this
-// one is known, and a next owner would learn of one of them alone.
+// mayHaveCrashed reports whether r, on an unreachable worker, may have crashed that worker: r is on
+// trial, or the worker disconnected soon after r was started. A copy could crash a second worker
+// before the first loss is established, and the next owner would learn of only one of the two.
 func (r *run) mayHaveCrashed() bool {
 	w := r.worker
 	return r.stage.needsTrial(&r.stage.tasks[r.index]) || w.hungUp && w.disconnectSeen && r.age(w.detachedSince) <= youngRunAge
 }
 
-// requeueForCopies lets the tasks that may run more than once wait again when their
-// worker is out of reach.
+// requeueForCopies lets tasks on an unreachable worker wait again if they may run more than once.
 func (c *Cell) requeueForCopies(w *worker, now time.Time) {
 	if now.Sub(w.detachedSince) < copyDelay {
 		return
--- a/cell/trial.go
+++ b/cell/trial.go
@@ -10,17 +10,17 @@
 )
 
 const (
-	// trialDivisor is the part of the workers, as a divisor, on which tasks may be tried at
-	// once: each is kept from other work for a moment, and may be lost.
+	// trialDivisor limits the workers on which tasks are tried at once to 1 in trialDivisor: each
+	// gets no other work for a moment, and may be lost.
 	trialDivisor = 4
-	// A trial is watched, with nothing started beside it, for twice as long as its task
-	// has run on before, within these bounds; the upper one is left out once it was
-	// blamed alone.
+	// A trial is watched, with nothing else started on its worker, for twice the age of the task's
+	// longest run that was lost, within these bounds. The upper bound does not apply to a task that
+	// has been the only suspect of a loss.
 	minTrialWatch = 500 * time.Millisecond
 	maxTrialWatch = 1500 * time.Millisecond
 )
 
-// trialWatch returns for how long a trial of a task is watched.
+// trialWatch returns how long a trial of a task is watched.
 func (t *task) trialWatch() time.Duration {
 	d := max(2*t.longestCrashAge(), minTrialWatch)
 	if slices.ContainsFunc(t.crashes, func(c flow.Crash) bool { return c.Blame == flow.BlameSole }) {
@@ -29,14 +29,14 @@
 	return min(d, maxTrialWatch)
 }
 
-// needsTrial reports whether a run of a task is to be a trial: it may crash its worker, or others
-// of its step have crashed several.
+// needsTrial reports whether a run of a task has to be a trial: the task may crash its worker, or
+// other tasks of its step have crashed several.
 func (s *stage) needsTrial(t *task) bool { return t.suspect() || s.blamedLosses >= maxWorkersInDoubt }
 
-// mayTry reports whether a task may be started now. What is held against one is kept first,
-// so that it counts for the next owner as well: without that, owners that followed each other
-// within seconds each began to count anew. Of a job one task is tried at a time, twice as many
-// after each round that went well.
+// mayTry reports whether a task may be started now. Losses counted against it must be stored first,
+// so that they count for the next owner as well: without that, owners that replaced each other
+// within seconds each counted from the start. The tasks of a job are tried one at a time at first,
+// and one more at a time for each trial that went well.
 func (c *Cell) mayTry(s *stage, index int, now time.Time) bool {
 	c.countInheritedLoss(s, index, now)
 	t := &s.tasks[index]
@@ -52,7 +52,7 @@
 	return c.activeTrials < c.maxTrials && s.job.activeTrials <= s.job.trialsPassed
 }
 
-// countTrials counts the trials that are being watched, and how many there may be.
+// countTrials counts the trials under watch and sets their limit.
 func (c *Cell) countTrials(now time.Time) {
 	usable := 0
 	c.activeTrials = 0
@@ -67,7 +67,7 @@
 	c.maxTrials = max(usable/trialDivisor, 1)
 }
 
-// mayTryGang is mayTry for all tasks of a gang.
+// mayTryGang reports whether mayTry allows all tasks of a gang.
 func (c *Cell) mayTryGang(s *stage, now time.Time) bool {
 	for i := range s.tasks {
 		if !c.mayTry(s, i, now) {
@@ -77,7 +77,7 @@
 	return true
 }
 
-// startTrialIfNeeded makes r a trial if its task may crash its worker.
+// startTrialIfNeeded makes r a trial if its task needs one.
 func (c *Cell) startTrialIfNeeded(r *run, now time.Time) {
 	t := &r.stage.tasks[r.index]
 	if !r.stage.needsTrial(t) {
@@ -89,7 +89,7 @@
 	c.activeTrials++
 }
 
-// endTrial takes in that a trial is over, and whether it went well.
+// endTrial ends the trial of r, if it is one. well tells whether it went well.
 func (r *run) endTrial(well bool) {
 	if r.trialUntil.IsZero() {
 		return
@@ -102,8 +102,8 @@
 	}
 }
 
-// checkTrial ends the trial of a run that its worker has outlived, and clears its task once
-// it has gone on for long.
+// checkTrial ends the trial of a run when its watch is over, and clears its task once the run has
+// lasted for crashClearTime.
 func (c *Cell) checkTrial(r *run, now time.Time) {
 	if r.stage.unknown || r.confirmedAt.IsZero() {
 		return
@@ -113,27 +113,26 @@
 	}
 	t := &r.stage.tasks[r.index]
 	if len(t.crashes) > 0 && now.Sub(r.confirmedAt) > crashClearTime {
-		kept := t.crashesMustBeStored()
+		wasStored := t.crashesMustBeStored()
 		t.crashes, t.storedCrashes, t.lostRacks = nil, 0, nil
-		if kept {
+		if wasStored {
 			c.markDirty(r.stage.job)
 		}
 	}
 }
 
-// underTrial reports whether nothing may be started on w beside a trial.
+// underTrial reports whether a trial on w forbids starting anything else there.
 func (w *worker) underTrial(now time.Time) bool { return now.Before(w.trialUntil) }
 
 const (
-	// trialNeighborPenalty is how much worse a worker is for a trial for each run there, above all
-	// other differences, and lostRackMalus for the rack where its task was lost before: a
-	// rack that fails says nothing of a task.
+	// trialNeighborPenalty is the penalty of a worker for each run already there; it outweighs all
+	// other differences. lostRackPenalty is the penalty of a rack where the task was lost before,
+	// as a failing rack proves nothing about a task.
 	trialNeighborPenalty = 100.0
 	lostRackPenalty      = 50.0
 )
 
-// trialScore says how well a worker is for a trial of a task: the less there is to lose the
-// better.
+// trialScore rates a worker for a trial of a task: the less there is to lose the better.
 func (s *stage) trialScore(t *task, w *worker) float64 {
 	if !s.needsTrial(t) {
 		return 0
--- a/cell/unkept.go
+++ b/cell/unkept.go
@@ -9,25 +9,25 @@
 	"dewpass.org/flow"
 )
 
-// An end that the store does not take is known to the cell and to the workers, which list
-// it until it is kept. For a caller it is over: while the store was away for 5.6 s, those
-// whose jobs had ended in that time were told so up to 5 s late. It may be shown once
-// another instance knows of it as well, so that the loss of the owner and of a worker
-// together does not bring the job back. Only success is shown so: it is a fact, and a
-// failure or a cancel is a decision, which the store keeps first.
+// While the store does not accept the end of a job, the end is known to the cell and to the
+// workers, which list it until it is stored. Callers should not have to wait for the store: while
+// it was away for 5.6 s, those whose jobs ended in that time were told up to 5 s late. The end may
+// be shown once another instance knows it too, so that losing the owner and a worker together does
+// not undo it. This applies only to success, which is a fact. A failure or a cancel is a decision
+// that the store records first.
 
 const (
-	// minUnstoredAge is how long the store may take to keep an end before others are told of
-	// it: several times as long as it takes when all is well, some 20 ms.
+	// minUnstoredAge is how long the store may take to write an end before other instances are
+	// told: several times the usual time of about 20 ms.
 	minUnstoredAge = 100 * time.Millisecond
-	// maxUnstoredAge is for how long after its end others are told of a job again and again;
-	// longer only if none is known to have heard it.
+	// maxUnstoredAge is how long after its end other instances are told of a job repeatedly; longer
+	// only while none is known to have received it.
 	maxUnstoredAge = 1200 * time.Millisecond
 )
 
-// Unkept returns jobs that have succeeded and of which the store does not know yet, at the
-// most so many, by id: those that other instances should be told of now.
-func (c *Cell) Unkept(most int, now time.Time) []string {
+// UnstoredSuccesses returns the ids of at most so many jobs that have succeeded, are not known to
+// be stored, and are to be reported to other instances now.
+func (c *Cell) Unkept(limit int, now time.Time) []string {
 	var out []string
 	for id, j := range c.unstoredSuccesses {
 		age := now.Sub(j.ended)
@@ -39,10 +39,10 @@
 		}
 	}
 	slices.Sort(out)
-	return out[:min(len(out), most)]
+	return out[:min(len(out), limit)]
 }
 
-// Shared says that another instance knows that these jobs have succeeded.
+// Shared reports to the cell that another instance knows that these jobs have succeeded.
 func (c *Cell) Shared(ids []string) {
 	for _, id := range ids {
 		if j := c.unstoredSuccesses[id]; j != nil {
@@ -51,7 +51,7 @@
 	}
 }
 
-// Succeeded says that another instance knows from a former owner that these jobs have
+// Succeeded reports to the cell that a former owner told another instance that these jobs have
 // succeeded.
 func (c *Cell) Succeeded(ids []string, now time.Time) {
 	for _, id := range ids {
--- a/cell/wait.go
+++ b/cell/wait.go
@@ -8,65 +8,64 @@
 	"dewpass.org/flow"
 )
 
-// waitReportInterval is how long a step has waited when it is told of, and spaces what is
-// told of one step.
+// waitReportInterval is how long a step has to wait to be reported, and the time between its
+// reports.
 const waitReportInterval = 5 * time.Second
 
-// Why says what a step waits for.
-type Why string
+// WaitReason is what a step waits for.
+type WaitReason string
 
-// What steps wait for.
+// The reasons why steps wait.
 const (
-	// HeldUp: workers of which it is not known what a former owner left there.
-	HeldUp Why = "held_up"
-	// InDoubt: several workers have just hung up on tasks of it.
-	InDoubt Why = "in_doubt"
+	// HeldUp: there are workers that have not yet listed what a former owner started there.
+	HeldUp WaitReason = "held_up"
+	// InDoubt: several workers have just disconnected with young tasks of the step.
+	InDoubt WaitReason = "in_doubt"
 	// Full: no worker has room for one task.
-	Full Why = "full"
-	// NoWorker: none of the workers that may run it has room.
-	NoWorker Why = "no_worker"
-	// NoAdvice: the policy has named no worker yet, or its tickets have ended.
-	NoAdvice Why = "no_advice"
-	// LinkFull: as many orders are under way as this instance's link carries in time.
-	LinkFull Why = "link_full"
-	// LimitReached: the client account has as much running as it may.
-	LimitReached Why = "limit_reached"
-	// NotWritten: the store has not been told of the hall.
-	NotWritten Why = "not_written"
+	Full WaitReason = "full"
+	// NoWorker: no worker that may run the step has room.
+	NoWorker WaitReason = "no_worker"
+	// NoAdvice: the policy has named no worker yet, or its tickets have expired.
+	NoAdvice WaitReason = "no_advice"
+	// LinkFull: as many orders are in flight as this instance's link can carry in time.
+	LinkFull WaitReason = "link_full"
+	// LimitReached: the client account is at its limit of running tasks.
+	LimitReached WaitReason = "limit_reached"
+	// NotWritten: the store has not recorded the hall yet.
+	NotWritten WaitReason = "not_written"
 )
 
 // Wait is a step that has waited for long.
 type Wait struct {
 	Step flow.StepID
-	Why  Why
-	// Tasks is how many of its tasks wait, and For how long.
+	Why  WaitReason
+	// Tasks is the number of its waiting tasks, and For how long they have waited.
 	Tasks int
 	For   time.Duration
-	// Reserved is on how many workers room is held for them.
+	// Reserved is the number of workers on which room is reserved for them.
 	Reserved int
-	// Asks counts the questions to the policy that are under way, LongAsks the long ones among
-	// them, AsksMost is how many there may be, and Asking says that one is about this step.
+	// Asks counts the questions to the policy in flight, LongAsks the long ones among them, and
+	// MaxAsks is the limit. Asking means that one is about this step.
 	Asks, LongAsks, AsksMost int
 	Asking                   bool
-	// Allowed are the workers that may run it now, Expired those whose tickets have ended,
-	// Unfit those that the policy does not let run it, and Unasked those of which it was
-	// not asked.
+	// Allowed are the workers that may run the step now, Expired those whose tickets have expired,
+	// Unfit those that the policy does not permit, and Unasked those that it was not asked about.
 	Allowed, Expired, Unfit, Unasked Candidates
-	// Account is what the job's client account has running, and Beyond says that the job came
-	// beyond its share.
+	// Account is the use of the cell by the job's client account, and BeyondShare means that the
+	// job exceeded the account's share on arrival.
 	Account AccountUse
 	Beyond  bool
 }
 
-// Candidates counts workers of a step's pool that have what it needs.
+// Candidates counts workers of a step's pool that have what the step needs.
 type Candidates struct {
-	// All are those that could be given something, Room those with room for one task more,
-	// and Yield those that would have it if less urgent tasks that save their work yielded.
+	// All counts the usable workers, Room those with room for one more task, and Yield those that
+	// would have room if less urgent tasks with checkpoints yielded.
 	All, Room, Yield int
 }
 
-// reportWait adds a stage to what is told if it has waited for long.
-func (c *Cell) reportWait(s *stage, why Why, a *Actions, now time.Time) {
+// reportWait reports a stage that has waited for long, at most once per waitReportInterval.
+func (c *Cell) reportWait(s *stage, why WaitReason, a *Actions, now time.Time) {
 	waited := now.Sub(s.waitingSince)
 	if s.waiting == 0 || waited < waitReportInterval || now.Sub(s.reportedAt) < waitReportInterval {
 		return
@@ -124,8 +123,8 @@
 	}
 }
 
-// noWorkerReason tells apart why no worker was found.
-func (c *Cell) noWorkerReason(s *stage, now time.Time) Why {
+// noWorkerReason returns why no worker was found for s.
+func (c *Cell) noWorkerReason(s *stage, now time.Time) WaitReason {
 	if len(s.hallsToStore) > 0 {
 		return NotWritten
 	}
--- a/cell/worker.go
+++ b/cell/worker.go
@@ -10,71 +10,70 @@
 	"dewpass.org/sched"
 )
 
-// Worker is what is known of a worker from its own entry.
+// Worker is what a worker's entry says of it.
 type Worker struct {
 	ID string
-	// Born is that of the life that wrote the entry, 0 if it does not say.
+	// Born identifies the incarnation that wrote the entry, 0 if it is not given.
 	Born int64
 	Addr string
 	Pool string
 	Hall string
 	Rack string
-	// Labels are what steps may need or be near to, the rack among them.
+	// Labels are matched with what steps need or should be near to; they include the rack.
 	Labels []string
 	Room   sched.Vec
-	// Draining says that the worker leaves, not before Remaining has passed.
+	// Draining means that the worker is going to leave, but not before Remaining has passed.
 	Draining  bool
 	Remaining time.Duration
-	// Gone says that the worker's entry has disappeared.
+	// Gone means that the worker's entry has disappeared.
 	Gone bool
 }
 
-// worker is one life of a worker, with what the cell knows of it. All of that ends with the life:
-// a worker that starts again under its id is another worker here.
+// worker is one incarnation of a worker. A worker that restarts under the same id is another worker
+// value, and nothing known of the earlier incarnation is carried over.
 type worker struct {
 	Worker
-	// incarnation is when this incarnation began, by what it lists or what a former owner knew; 0 if it is
-	// not known, or not said.
+	// incarnation is the Born value that the worker lists, or that a former owner knew; 0 if it is
+	// not known or not given.
 	incarnation int64
 	attached    bool
-	// everAttached says that it was attached at some time, and inherited that a former owner had it.
+	// everAttached means that the worker was attached at some time, inherited that a former owner
+	// had it.
 	everAttached, inherited bool
-	// detachedSince is when the worker was last attached, while it is not.
+	// detachedSince is when the worker was last attached, while it is detached.
 	detachedSince time.Time
-	// leaseEnd is when its leases are over, while it is not attached; zero if it has none.
+	// leaseEnd is when the worker's leases expire, while it is detached; zero if it has none.
 	leaseEnd time.Time
 	free     sched.Vec
-	// reserved is what is held for steps that come first in the order, during Place.
+	// reserved is the room held, during Place, for steps that come first in the order.
 	reserved sched.Vec
 	runs     map[runKey]*run
-	// runList holds the same runs in the order in which they came, so that decisions
-	// repeat, and fills counts those that fill.
+	// runList holds the same runs as runs in their order of arrival, so that decisions are
+	// deterministic. fillerRuns counts those that fill spare processor time.
 	runList    []*run
 	fillerRuns int
-	// unknownRuns counts the runs of jobs that are not known: what they take is not
-	// known either.
+	// unknownRuns counts the runs of jobs that are not known, whose room is not known either.
 	unknownRuns int
-	// seenEnd is the number of the last end that was taken in, savingEnd the number
-	// that the save under way covers, and observedEnd the last one that is kept.
+	// seenEnd is the number of the last end taken in, savingEnd the last one covered by the save in
+	// progress, and observedEnd the last one that the store has.
 	seenEnd, savingEnd, observedEnd int
 	health                          health
-	// settled says that it is known what a former owner left running here.
+	// settled means that whatever a former owner left running here is known.
 	settled bool
-	// throttlePercent is how much of their speed the runs that fill do without, in
-	// hundredths, and paced when that last changed.
+	// throttlePercent is the reduction of the speed of the filler runs here, in percent, and
+	// pacedAt when it last changed.
 	throttlePercent int
 	pacedAt         time.Time
-	// silent says that an order has gone without an answer for longer than
-	// answers take.
+	// silent means that an order has been unanswered for longer than answers take.
 	silent bool
-	// lastHeard is when its entry was last read.
+	// lastHeard is when the worker's entry was last read.
 	lastHeard time.Time
-	// hungUp says that its side ended the connection, since it was last attached, and disconnectSeen
-	// that this was seen as it happened.
+	// hungUp means that the worker's side has closed or refused the connection since the worker was
+	// last attached, and disconnectSeen that the moment of the disconnect was observed.
 	hungUp, disconnectSeen bool
-	// trialUntil is until when nothing is started there beside a trial.
+	// trialUntil is the end of the period in which nothing is started here beside a trial.
 	trialUntil time.Time
-	// evacuateBy is by when it should be empty, zero if it is not being emptied.
+	// evacuateBy is the deadline of the worker's evacuation, zero if it is not being evacuated.
 	evacuateBy time.Time
 }
 
@@ -84,14 +83,14 @@
 	Run     int
 	Saved   string
 	Percent int
-	// Tail is the worker's fifth figure: the tail of a serving task in
-	// milliseconds, otherwise the processor time in use.
+	// Tail is the worker's fifth figure of the run: the tail latency in milliseconds of a serving
+	// task, otherwise the processor time in use.
 	Tail int64
 }
 
 // Finished is the end of a run as its worker lists it.
 type Finished struct {
-	// Number rises by one with each end in one life of a worker.
+	// Number increases by one with each end within one incarnation of a worker.
 	Number int
 	Task   flow.TaskID
 	Run    int
@@ -99,18 +98,18 @@
 	Saved  string
 }
 
-// Lists are what a worker says of its runs.
+// Lists are a worker's lists of its runs and their ends.
 type Lists struct {
-	// Born tells the lives of a worker apart: the Unix millisecond at which the one that lists
-	// began, 0 if it does not say.
+	// Born identifies the incarnation of the worker: the Unix time in milliseconds at which it
+	// began, 0 if it is not given.
 	Born     int64
 	Running  []Running
 	Finished []Finished
-	// Cut says that there were more ends than the worker lists at once.
+	// Truncated means that there were more ends than the worker lists at once.
 	Cut bool
 }
 
-// Heard takes in what a worker says of itself.
+// Heard updates the cell from a worker's entry.
 func (c *Cell) Heard(info Worker, now time.Time) {
 	w := c.workers[info.ID]
 	if w == nil {
@@ -132,7 +131,7 @@
 	return &worker{Worker: info, runs: make(map[runKey]*run), free: info.Room, detachedSince: now}
 }
 
-// timeUntilLeave returns how long a worker that is leaving surely stays.
+// timeUntilLeave returns how long a leaving worker is certain to stay.
 func (w *worker) timeUntilLeave(now time.Time) time.Duration {
 	if !w.Draining {
 		return w.evacuateBy.Sub(now)
@@ -140,49 +139,49 @@
 	return w.Remaining - now.Sub(w.lastHeard)
 }
 
-// Silent says whether an order to a worker has gone without an answer for longer
-// than answers take. Nothing more is placed there meanwhile.
+// Silent sets whether an order to a worker has been unanswered for longer than answers take.
+// Nothing more is placed there meanwhile.
 func (c *Cell) Silent(id string, silent bool) {
 	if w := c.workers[id]; w != nil {
 		w.silent = silent
 	}
 }
 
-// usable reports whether w may be given anything now.
+// usable reports whether tasks may be placed on w now.
 func (w *worker) usable() bool {
 	return w.attached && !w.silent && !w.leaving() && !w.Gone && w.unknownRuns == 0 && w.described()
 }
 
-// Missing says that a worker's entry has been missing for too long to place
-// anything there.
+// Missing reports to the cell that a worker's entry has been missing for too long to place anything
+// there.
 func (c *Cell) Missing(id string) {
 	if w := c.workers[id]; w != nil {
 		w.Gone = true
 	}
 }
 
-// Forget removes a worker that is known to be no more: none of its runs runs.
+// Forget removes a worker that is known to have ended, with all of its runs.
 func (c *Cell) Forget(id string, how Loss, now time.Time) {
 	w := c.workers[id]
 	if w == nil {
 		return
 	}
 	c.Lapsed(id, how, now)
-	// Those who still know of it place nothing there.
+	// Callers that still hold w must not place anything there.
 	w.Gone = true
 	delete(c.workers, id)
 	c.sortedWorkers = slices.DeleteFunc(c.sortedWorkers, func(o *worker) bool { return o == w })
 }
 
-// Lapsed says that nothing runs on a worker any more for certain: its leases
-// are over, or it lives another life.
+// WorkerLost reports to the cell that nothing can be running on a worker any more: its leases have
+// expired or a new incarnation has replaced it.
 func (c *Cell) Lapsed(id string, how Loss, now time.Time) {
 	if w := c.workers[id]; w != nil {
 		c.loseRuns(w, how, now)
 	}
 }
 
-// loseRuns has all that was on w lost.
+// loseRuns takes all runs on w as lost, blames tasks for the loss of w, and requeues the tasks.
 func (c *Cell) loseRuns(w *worker, how Loss, now time.Time) {
 	w.settled = true
 	c.noteInheritedLoss(w, how)
@@ -198,15 +197,15 @@
 		c.removeRun(r)
 		c.requeue(r.stage, r.index, r.checkpoint, now)
 	}
-	// Without a verdict a task that ends its worker's process would be started for ever: no
-	// end of it is ever listed as failed.
+	// A task that ends its worker's process never has an end listed as failed. Unless losses count
+	// against it, it would be started again for ever.
 	for _, r := range lost {
 		c.giveUpIfCrashing(r.stage, r.index, now)
 	}
 }
 
-// Unsure says that an order's answer was lost: nothing is placed on the worker
-// until it is attached again.
+// Detached reports to the cell that the answer to an order was lost: nothing is placed on the
+// worker until it is attached again.
 func (c *Cell) Unsure(id string, now time.Time) {
 	if w := c.workers[id]; w != nil && w.attached {
 		w.attached = false
@@ -214,20 +213,20 @@
 	}
 }
 
-// Busy reports whether a worker may still run something.
+// Busy reports whether a worker may still be running something.
 func (c *Cell) Busy(id string) bool {
 	w := c.workers[id]
 	return w != nil && len(w.runs) > 0
 }
 
-// Left reports whether a worker that leaves has nothing more to do: nothing runs there,
-// all its ends are kept, and it is given nothing any more.
+// Drained reports whether a leaving worker has nothing more to do: it is attached and runs nothing,
+// all its ends are stored, and it is given nothing more.
 func (c *Cell) Left(id string) bool {
 	w := c.workers[id]
 	return w != nil && w.Draining && w.attached && len(w.runs) == 0 && w.seenEnd == w.observedEnd
 }
 
-// Runs returns what runs on a worker, by what it last listed.
+// Runs returns what runs on a worker, as it was last listed.
 func (c *Cell) Runs(id string) []Running {
 	w := c.workers[id]
 	if w == nil {
@@ -240,8 +239,9 @@
 	return out
 }
 
-// Observed returns the number of the last end of a worker that is kept. It is 0 while there is a
-// run that may have been given to another life: that one would forget ends of its own by it.
+// Observed returns the number of the last end of a worker that the store has. It returns 0 while
+// the worker has an unconfirmed run, which may have been started by another incarnation: that
+// incarnation would discard ends of its own if it were told this number.
 func (c *Cell) Observed(id string) int {
 	w := c.workers[id]
 	if w == nil || slices.ContainsFunc(w.runList, func(r *run) bool { return r.confirmedAt.IsZero() }) {
@@ -250,14 +250,14 @@
 	return w.observedEnd
 }
 
-// Unsaved reports whether a worker has listed ends that are not kept yet.
+// Unsaved reports whether a worker has listed ends that the store does not have yet.
 func (c *Cell) Unsaved(id string) bool {
 	w := c.workers[id]
 	return w != nil && w.seenEnd > w.observedEnd
 }
 
-// Attached takes in the lists of a worker under a newer fence. Orders of before
-// that are not in them will never be carried out.
+// Attached updates the cell from the lists of a worker under a newer fencing token. Earlier orders
+// that are not in the lists will never be carried out.
 func (c *Cell) Attached(id string, l Lists, now time.Time) {
 	w := c.workers[id]
 	if w == nil {
@@ -267,7 +267,7 @@
 	c.takeLists(w, l, now)
 	for _, r := range slices.Clone(w.runList) {
 		if r.throttlePercent != w.throttlePercent || r.throttlePercent != 0 {
-			// What it was told of its pace may be lost.
+			// The last order to set its pace may have been lost.
 			r.throttlePercent = -1
 		}
 		if r.confirmedAt.IsZero() && !l.Cut {
@@ -280,8 +280,8 @@
 	w.hungUp, w.disconnectSeen = false, false
 }
 
-// Listed takes in the lists of a worker, asked for at sent. Those of another life say nothing
-// before it is attached: orders that are under way may still reach it.
+// Listed updates the cell from the lists of a worker that were requested at sent. Lists of another
+// incarnation are ignored until it is attached, as orders in flight may still reach it.
 func (c *Cell) Listed(id string, l Lists, sent, now time.Time) {
 	w := c.workers[id]
 	if w == nil || w.isOtherIncarnation(l.Born) {
@@ -299,23 +299,24 @@
 	}
 }
 
-// EndsListed takes in the ends that a worker listed, from an answer that says nothing of what
-// runs there now: one under an earlier fence, or one from which that was left out. An end is
-// a fact under every fence. Those of another life bear other numbers: what it listed before was
-// lost with it, and what it lists after comes again when it is attached.
+// EndsListed updates the cell from the ends in an answer that does not tell what runs on the worker
+// now: the answer came under an earlier fencing token, or the list of runs was left out. An end is
+// final under any fencing token. Ends of another incarnation are ignored, as they are numbered
+// anew: those that the earlier incarnation listed were lost with it, and those of the new one are
+// listed again when it is attached.
 func (c *Cell) EndsListed(id string, l Lists, now time.Time) {
 	if w := c.workers[id]; w != nil && !w.isOtherIncarnation(l.Born) {
 		c.takeEnds(w, l.Finished, now)
 	}
 }
 
-// unsettled says where there are workers that may run something that a former
-// owner started and that is not on the books.
+// unsettled describes the workers that may have runs which a former owner started and this one does
+// not know yet.
 type unsettled struct {
-	// any says that there may be such workers in any hall.
+	// any means that there may be such workers in any hall.
 	any   bool
 	halls map[string]bool
-	// room is what all of them have.
+	// room is the total capacity of these workers.
 	room sched.Vec
 }
 
@@ -335,7 +336,7 @@
 	return u
 }
 
-// takeLists takes in both lists and returns the turn that the running runs now bear.
+// takeLists processes both lists and returns the sequence number that the listed runs now have.
 func (c *Cell) takeLists(w *worker, l Lists, now time.Time) int {
 	c.takeEnds(w, l.Finished, now)
 	c.listSeq++
@@ -345,8 +346,8 @@
 	return c.listSeq
 }
 
-// takeEnds takes in the ends that are new. A worker lists all ends in their order from the
-// first one that it was not told to forget, so that none is passed over.
+// takeEnds processes the ends that are new. A worker lists all ends in order, from the first one
+// that it was not told to discard, so that none is missed.
 func (c *Cell) takeEnds(w *worker, ends []Finished, now time.Time) {
 	for _, f := range ends {
 		if f.Number <= w.seenEnd {
@@ -357,7 +358,7 @@
 	}
 }
 
-// takeRunning takes in one running run.
+// takeRunning processes one listed run.
 func (c *Cell) takeRunning(w *worker, row *Running, now time.Time) {
 	r := w.runs[runKey{row.Task, row.Run}]
 	if r == nil {
@@ -378,8 +379,7 @@
 	}
 }
 
-// adopt takes on a run that another owner started. It is stopped at once if it
-// is not wanted.
+// adopt records a run that another owner started. If the run is not wanted the next check stops it.
 func (c *Cell) adopt(w *worker, row *Running, now time.Time) *run {
 	s := c.stage(flow.StepID{Job: row.Task.Job, Time: row.Task.Time, Step: row.Task.Step})
 	if s == nil || row.Task.Index >= len(s.tasks) || s.tasks[row.Task.Index].state == taskElsewhere {
@@ -394,7 +394,7 @@
 	return r
 }
 
-// bind gives a run that is held to its task.
+// bind assigns a run on a worker to its task.
 func (c *Cell) bind(r *run, now time.Time) {
 	s := r.stage
 	t := &s.tasks[r.index]
