--- a/cell/account_test.go
+++ b/cell/account_test.go
@@ -13,7 +13,7 @@
 	"dewpass.org/sched"
 )
 
-// accounts configures client accounts beside the queue of a rig.
+// accounts configures client accounts besides the queues of a rig.
 func (r *rig) accounts(accounts ...Account) {
 	r.Configure([]Queue{
 		{Name: "q", Pool: "p", MaxAttempts: 2, Stretch: 1.5, Target: time.Second},
@@ -21,7 +21,7 @@
 	}, accounts...)
 }
 
-// addFor submits a job of an account and has it kept.
+// addFor submits a job of an account and marks it stored.
 func (r *rig) addFor(account, id string, steps ...flow.Step) {
 	r.Submit(&flow.Spec{ID: id, Queue: "q", Account: account, Steps: steps}, r.now, r.now)
 	r.Keep(id)
@@ -43,10 +43,10 @@
 			break
 		}
 	}
-	g.Expect(r.startAll()).To(HaveLen(1), "one has ended")
+	g.Expect(r.startAll()).To(HaveLen(1), "one run has ended")
 }
 
-func TestRunThatIsBeingStoppedOrMayHaveBegunCountsForTheLimit(t *testing.T) {
+func TestStoppingAndUnconfirmedRunsCountAgainstTheLimit(t *testing.T) {
 	g := NewWithT(t)
 	r := newRig(2)
 	r.accounts(Account{Name: "a", Limit: limit(1000, 0)})
@@ -54,7 +54,7 @@
 	first := r.startAll()
 	r.Unsure(first[0].Worker, r.now)
 	r.addFor("a", "j2", flow.Step{Count: 1, Demand: demand(1000)})
-	g.Expect(r.startAll()).To(BeEmpty(), "the first may run")
+	g.Expect(r.startAll()).To(BeEmpty(), "the first run may have begun")
 	r.Attached(first[0].Worker, Lists{Running: []Running{{Task: first[0].Task, Run: first[0].Run}}}, r.now)
 	r.Cancel("j1", r.now)
 	g.Expect(r.startAll()).To(BeEmpty(), "the first is being stopped")
@@ -62,7 +62,7 @@
 	g.Expect(r.startAll()).To(HaveLen(1))
 }
 
-func TestWhatAFormerOwnerMayHaveStartedCountsForTheLimit(t *testing.T) {
+func TestTasksPossiblyStartedByAFormerOwnerCountAgainstTheLimit(t *testing.T) {
 	g := NewWithT(t)
 	r := newRig(0)
 	r.accounts(Account{Name: "a", Limit: limit(2000, 0)}, Account{Name: "b", Limit: limit(2000, 0)})
@@ -76,7 +76,7 @@
 	g.Expect(starts).To(HaveLen(1))
 	g.Expect(starts[0].Task.Job).To(Equal("other"))
 	r.Attached("w1", Lists{}, r.now)
-	g.Expect(r.startAll()).To(HaveLen(2), "nothing of it ran")
+	g.Expect(r.startAll()).To(HaveLen(2), "no task of the former owner was running")
 }
 
 func TestGangDoesNotStartBeyondTheLimitOfItsAccount(t *testing.T) {
@@ -99,7 +99,7 @@
 	g.Expect(r.startAll()).To(HaveLen(1))
 }
 
-func TestLimitThatFallsEndsNothing(t *testing.T) {
+func TestLoweredLimitStopsNoRuns(t *testing.T) {
 	g := NewWithT(t)
 	r := newRig(4)
 	r.accounts(Account{Name: "a", Limit: limit(3000, 0)})
@@ -110,10 +110,10 @@
 	g.Expect(a.Starts).To(BeEmpty())
 	g.Expect(a.Stops).To(BeEmpty())
 	r.accounts()
-	g.Expect(r.startAll()).To(BeEmpty(), "an account that is gone keeps its limit")
+	g.Expect(r.startAll()).To(BeEmpty(), "an account that is no longer configured keeps its limit")
 }
 
-func TestAccountThatSendsManyTimesItsShareDelaysNoOther(t *testing.T) {
+func TestAccountBeyondItsShareDelaysNoOtherAccount(t *testing.T) {
 	g := NewWithT(t)
 	r := newRig(2)
 	r.accounts(Account{Name: "hot", Weight: 2}, Account{Name: "calm", Weight: 2})
@@ -131,12 +131,12 @@
 			order[next.Task.Job] = i
 		}
 	}
-	// Two at once and one more within the second are hot's own.
+	// Two at once and one more within the second are within the share of hot.
 	g.Expect(order["calm"]).To(Equal(3))
 	g.Expect(order).To(HaveLen(8), "all room is used")
 }
 
-func TestBucketFollowsItsRate(t *testing.T) {
+func TestBucketLimitsTheRate(t *testing.T) {
 	g := NewWithT(t)
 	var b bucket
 	now := time.Unix(1_000, 0)
@@ -163,7 +163,7 @@
 	for _, s := range first {
 		r.end(s, flow.EndDone)
 	}
-	g.Expect(r.startAll()).To(BeEmpty(), "the room of the call is kept for the next one")
+	g.Expect(r.startAll()).To(BeEmpty(), "the room of the call stays reserved for the next one")
 	r.now = r.now.Add(time.Second)
 	r.addFor("a", "call2", flow.Step{Count: 2, Demand: demand(1000)})
 	second := r.startAll()
@@ -176,7 +176,7 @@
 		r.now = r.now.Add(urgentWindow + time.Millisecond)
 		given += len(r.startAll())
 	}
-	g.Expect(given).To(Equal(2), "it is given back when no more come")
+	g.Expect(given).To(Equal(2), "the reserved room is released when no more calls come")
 }
 
 func TestFewUnsettledWorkersDoNotHoldUpAnAccount(t *testing.T) {
@@ -186,11 +186,11 @@
 	r.heard("gone", func(w *Worker) { w.Hall = "far" })
 	r.Restore(&flow.Spec{ID: "old", Queue: "q", Account: "a", Hall: "far", Steps: []flow.Step{{Count: 100, Demand: demand(1000)}}}, nil, r.now, r.now)
 	r.addFor("a", "new", flow.Step{Count: 16, Demand: demand(1000)})
-	g.Expect(r.startAll()).To(HaveLen(8), "all but what the worker that is gone may run")
+	g.Expect(r.startAll()).To(HaveLen(8), "all but what the missing worker may be running")
 }
 
-// BenchmarkAccounts is what limits and shares add to a decision: 1,000 accounts with a step that
-// waits each, and 6,000 workers. Accounts that ask for nothing add nothing.
+// BenchmarkAccounts measures what limits and shares add to a decision with 6,000 workers and 1,000
+// accounts that each have a waiting step. Idle accounts should add nothing.
 func BenchmarkAccounts(b *testing.B) {
 	for _, idle := range []int{0, 10_000} {
 		b.Run(fmt.Sprintf("idle=%d", idle), func(b *testing.B) {
--- a/cell/advice_test.go
+++ b/cell/advice_test.go
@@ -20,7 +20,7 @@
 		return r
 	}
 
-	It("is asked, and only the workers that it names get the step, with their ticket", func() {
+	It("is asked, and only the workers that it permits get the step, with their ticket", func() {
 		r := advised()
 		a := r.place()
 		Expect(a.Starts).To(BeEmpty())
@@ -32,7 +32,7 @@
 		Expect(starts[0].Ticket).To(Equal("t"))
 	})
 
-	It("is asked again when its tickets have ended", func() {
+	It("is asked again when its tickets have expired", func() {
 		r := advised()
 		a := r.place()
 		r.Advised(a.Asks[0], []Ticket{{Worker: "w1", Text: "t"}}, time.Second, r.now)
@@ -45,7 +45,7 @@
 })
 
 var _ = Describe("questions to the policy", func() {
-	It("leave some callers to short ones, however many long ones wait", func() {
+	It("leave some of their limit to short ones, however many long ones wait", func() {
 		r := newRig(2)
 		r.Configure([]Queue{
 			{Name: "long", Pool: "p", Advice: &Advice{Decide: time.Second, Valid: time.Minute}},
@@ -64,12 +64,12 @@
 		Expect(r.Place(r.now, r.now, 4).Asks).To(HaveLen(1))
 		r.Unadvised(long[0], r.now)
 		submit("t", "short")
-		Expect(r.Place(r.now, r.now, 4).Asks[0].Step.Job).To(Equal("l3"), "the next long one")
+		Expect(r.Place(r.now, r.now, 4).Asks[0].Step.Job).To(Equal("l3"), "the next long question")
 	})
 })
 
-var _ = Describe("a worker that is no more", func() {
-	It("is not chosen for a step that the policy let it run", func() {
+var _ = Describe("a worker that has ended", func() {
+	It("is not chosen for a step that the policy permitted it to run", func() {
 		r := newRig(1)
 		r.Configure([]Queue{{Name: "q", Pool: "p", MaxAttempts: 1, Advice: &Advice{Valid: time.Hour}}})
 		r.add("j", flow.Step{Count: 1, Demand: demand(1000)})
--- a/cell/ask_load_test.go
+++ b/cell/ask_load_test.go
@@ -13,14 +13,14 @@
 	"dewpass.org/sched"
 )
 
-// What happened: in a pool of 350 workers, seconds after several waves of workers had been
-// taken away and the owner had changed, steps waited for 5 s and more ("step_waits", why
-// "no_advice", 50 to 90 lines in two seconds) and the first start of a job took 10 s at the
-// 95th percentile. 2,636 jobs had cost 19,607 questions, 1,200 s of the policy's time: while
-// a step waited for its opening, or for its first tickets to be used, all other workers
-// were asked about as well, thirty at a time.
+// Guards against asking the policy about every worker for each step. In a pool of 350 workers,
+// seconds after several waves of workers had been taken away and the owner had changed, steps
+// waited for 5 s and more (event "step_waits", why "no_advice", 50 to 90 lines in two seconds), and
+// the first start of a job took 10 s at the 95th percentile. 2,636 jobs had cost 19,607 questions
+// and 1,200 s of the policy's time: while a step waited to open, or for its first tickets to be
+// used, all other workers were asked about as well, thirty at a time.
 
-// askLoad is a minute of short jobs of some steps in a pool of many workers, with room for
+// askLoad returns 20 s of short jobs with a few steps each, in a pool of many workers with room for
 // all of them.
 func askLoad(seed uint64) *replay {
 	r := newReplay(seed, []Queue{
@@ -39,7 +39,7 @@
 }
 
 var _ = Describe("questions to the policy in a pool of many workers", func() {
-	It("are about one for a step", func() {
+	It("number about one per step", func() {
 		r := askLoad(1)
 		r.play(30 * time.Second)
 		steps := 0
@@ -47,12 +47,12 @@
 			steps += len(j.spec.Steps)
 		}
 		perStep := float64(r.asked) / float64(steps)
-		GinkgoWriter.Printf("%d jobs, %.2f questions a step, %v\n", len(r.arrivals), perStep, r.outcomes()["call"])
+		GinkgoWriter.Printf("%d jobs, %.2f questions per step, %v\n", len(r.arrivals), perStep, r.outcomes()["call"])
 		Expect(perStep).To(BeNumerically("<=", 1.3))
 		Expect(r.outcomes()["call"].inTime).To(BeNumerically(">=", 0.99))
 	})
 
-	It("are none for a step that waits for a former owner's workers", func() {
+	It("are not asked about a step that waits for a former owner's workers", func() {
 		r := newRig(0)
 		r.Configure([]Queue{{Name: "q", Pool: "p", MaxAttempts: 2, Advice: &Advice{Decide: time.Millisecond, Valid: time.Second}}})
 		spec := &flow.Spec{ID: "j", Queue: "q", Hall: "h", Steps: []flow.Step{{Count: 1, Demand: demand(1000)}}}
@@ -65,7 +65,7 @@
 		Expect(r.place().Asks).To(HaveLen(1))
 	})
 
-	It("are asked for short steps also when fewer callers are left than long ones are under way", func() {
+	It("are asked about short steps even when more long ones are in flight than the new limit allows", func() {
 		r := newRig(1)
 		r.Configure([]Queue{
 			{Name: "long", Pool: "p", Advice: &Advice{Decide: time.Second, Valid: time.Minute}},
--- a/cell/ask_share_test.go
+++ b/cell/ask_share_test.go
@@ -12,24 +12,25 @@
 	"dewpass.org/flow"
 )
 
-// unaskedMost is for how long a step may wait for its first question while workers have room.
-const unaskedMost = 3 * time.Second
+// maxUnaskedTime is how long a step may wait for its first question while workers have room.
+const maxUnaskedTime = 3 * time.Second
 
-// Questions to the policy under which steps wait for theirs.
+// The number of questions allowed in flight, and of steps that compete for them.
 const (
 	callers = 34
 	steps   = 80
-	// spreadStep is by how much each answer is later than the one before.
-	spreadStep = 37 * time.Millisecond
+	// answerSpacing is how much later each answer is than the one before.
+	answerSpacing = 37 * time.Millisecond
 )
 
-// askedRig is a rig whose policy answers in time, with tickets that are over by then.
+// askedRig is a rig whose policy answers in time, but with tickets that have expired when the
+// answer arrives.
 type askedRig struct {
 	*rig
-	advice *Advice
-	under  []askedQuestion
-	sent   int
-	// spread is over how long answers to questions of one moment come.
+	advice   *Advice
+	inFlight []askedQuestion
+	sent     int
+	// spread is the period over which the answers to questions of the same moment arrive.
 	spread time.Duration
 }
 
@@ -38,18 +39,18 @@
 	answered time.Time
 }
 
-// askedWithin lets time pass, and reports whether the policy was asked about a job.
+// askedWithin plays up to a length of time, and reports whether the policy was asked about a job.
 func (r *askedRig) askedWithin(most time.Duration, job string) bool {
 	for end := r.now.Add(most); r.now.Before(end); r.now = r.now.Add(10 * time.Millisecond) {
 		var rest []askedQuestion
-		for _, q := range r.under {
+		for _, q := range r.inFlight {
 			if r.now.Before(q.answered) {
 				rest = append(rest, q)
 				continue
 			}
 			r.Advised(q.Ask, []Ticket{{Worker: q.Workers[0], Text: "t"}}, r.advice.Valid, q.answered.Add(-q.Takes()))
 		}
-		r.under = rest
+		r.inFlight = rest
 		for _, a := range r.Place(r.now, r.now, callers).Asks {
 			if a.Step.Job == job {
 				return true
@@ -57,16 +58,16 @@
 			r.sent++
 			late := time.Duration(0)
 			if r.spread > 0 {
-				late = time.Duration(r.sent) * spreadStep % r.spread
+				late = time.Duration(r.sent) * answerSpacing % r.spread
 			}
-			r.under = append(r.under, askedQuestion{a, r.now.Add(a.Takes() + late)})
+			r.inFlight = append(r.inFlight, askedQuestion{a, r.now.Add(a.Takes() + late)})
 		}
 	}
 	return false
 }
 
-var _ = Describe("a step that comes last in the order", func() {
-	It("is asked about in time, though those before it ask without end", func() {
+var _ = Describe("a step that comes last by rank", func() {
+	It("is asked about in time, though the steps before it are asked about again and again", func() {
 		advice := &Advice{Decide: 150 * time.Millisecond, Each: 2 * time.Millisecond, Valid: 100 * time.Millisecond}
 		r := &askedRig{rig: newRig(0), advice: advice}
 		r.Configure([]Queue{
@@ -85,10 +86,10 @@
 			submit(fmt.Sprintf("b%02d", i), "busy")
 		}
 		submit("last", "late")
-		Expect(r.askedWithin(unaskedMost, "last")).To(BeTrue())
+		Expect(r.askedWithin(maxUnaskedTime, "last")).To(BeTrue())
 	})
 
-	It("does not take the questions of a more urgent one that has just come", func() {
+	It("does not delay the question about a more urgent step that has just arrived", func() {
 		advice := &Advice{Decide: 500 * time.Millisecond, Each: 7 * time.Millisecond, Valid: 100 * time.Millisecond}
 		r := &askedRig{rig: newRig(0), advice: advice, spread: 300 * time.Millisecond}
 		r.Configure([]Queue{
--- a/cell/batch_load_test.go
+++ b/cell/batch_load_test.go
@@ -14,9 +14,9 @@
 	"dewpass.org/sched"
 )
 
-// batchLoad is 45 s of calls, of wide batch that alone would fill two thirds of a pool and of services
-// that last, with a burst of calls and one of batch. The policy takes long for questions about
-// batch, and lets a third of the workers run it.
+// batchLoad returns 45 s of calls, of wide batch jobs that alone would fill two thirds of a pool,
+// and of lasting services, with one burst of calls and one of batch jobs. The policy takes long for
+// questions about batch jobs and permits a third of the workers for them.
 func batchLoad(seed uint64) *replay {
 	r := newReplay(seed, []Queue{
 		{Name: "call", Pool: "p", MaxAttempts: 2, Stretch: 1.5, Target: 250 * time.Millisecond,
@@ -72,15 +72,15 @@
 	return r
 }
 
-var _ = Describe("batch that fills most of a pool beside calls and services", func() {
-	It("is in time where the policy can barely answer all that is asked", func() {
+var _ = Describe("batch jobs that fill most of a pool beside calls and services", func() {
+	It("are in time where the policy can barely answer all questions", func() {
 		const seeds = 2
 		var call, batch float64
 		for seed := range uint64(seeds) {
 			r := batchLoad(seed)
 			r.play(60 * time.Second)
 			o := r.outcomes()
-			GinkgoWriter.Printf("seed %d: call %v; batch %v; %d questions, %v of the policy\n", seed, o["call"], o["batch"], r.asked, r.asking.Round(time.Second))
+			GinkgoWriter.Printf("seed %d: call %v; batch %v; %d questions, %v of policy time\n", seed, o["call"], o["batch"], r.asked, r.policyTime.Round(time.Second))
 			call += o["call"].inTime / seeds
 			batch += o["batch"].inTime / seeds
 		}
--- a/cell/bench_test.go
+++ b/cell/bench_test.go
@@ -10,8 +10,8 @@
 	"dewpass.org/flow"
 )
 
-// busyCell returns a cell whose workers are nearly full, with more stages that
-// wait for room than will find it.
+// busyCell returns a cell whose workers are nearly full, with more waiting stages than will find
+// room.
 func busyCell(workers, waiting int) (*rig, []Start) {
 	r := &rig{Cell: New(1 << 12), now: time.Unix(1_000_000, 0), ends: make(map[string]int)}
 	r.Configure([]Queue{
@@ -47,7 +47,7 @@
 	return r, starts
 }
 
-// BenchmarkPlace is one turn of an owner: a task ends, one of its kind waits, and
+// BenchmarkPlace measures one cycle of an owner: a task ends, another of the same kind waits, and
 // the cell decides.
 func BenchmarkPlace(b *testing.B) {
 	for _, size := range []struct{ workers, waiting int }{{48, 10}, {350, 80}, {1000, 200}} {
--- a/cell/cancelled_test.go
+++ b/cell/cancelled_test.go
@@ -9,17 +9,17 @@
 	"dewpass.org/flow"
 )
 
-// A task of a cancelled job may begin after the cancel: a worker carries an order out
-// seconds after it was given, or the owner that gave it is gone and the next one has
-// never heard of it. It has to be stopped whoever started it and whenever.
+// A task of a cancelled job may begin after the cancel: its worker carries out the order seconds
+// later, or the owner that gave the order has been replaced by one that does not know the job. Such
+// a run has to be stopped whoever started it and whenever it begins.
 var _ = Describe("a task that begins after its job was cancelled", func() {
 	row := func(s Start) Running { return Running{Task: s.Task, Run: s.Run} }
 
-	It("is stopped when its worker carried the order out late", func() {
+	It("is stopped when its worker carries out the order late", func() {
 		r := newRig(1)
 		r.add("j", flow.Step{Count: 1, Demand: demand(1000)})
 		order := r.place().Starts[0]
-		// The order has no answer: the worker is held again and does not list the run.
+		// The order is not answered: the worker is attached again and does not list the run.
 		r.Unsure("w0", r.now)
 		r.Attached("w0", Lists{}, r.now)
 		Expect(r.Cancel("j", r.now)).To(BeTrue())
@@ -30,7 +30,7 @@
 		Expect(r.place().Stops).To(ConsistOf(Stop{Worker: "w0", Addr: "w0", Task: order.Task, Run: order.Run}))
 	})
 
-	It("is stopped again until it is gone", func() {
+	It("is stopped again and again until its end is listed", func() {
 		r := newRig(1)
 		r.add("j", flow.Step{Count: 1, Demand: demand(1000)})
 		order := r.startAll()[0]
@@ -44,7 +44,7 @@
 		Expect(r.place().Stops).To(BeEmpty())
 	})
 
-	It("is stopped by the next owner when its starter has been removed", func() {
+	It("is stopped by the next owner when the owner that started it has been replaced", func() {
 		for _, rec := range []*flow.Record{{State: flow.Canceled, Cancelled: true}, {State: flow.Running, Cancelled: true}} {
 			r := newRig(0)
 			spec := &flow.Spec{ID: "j", Queue: "q", Hall: "h", Steps: []flow.Step{{Count: 1, Demand: demand(1000)}}}
@@ -58,7 +58,7 @@
 		}
 	})
 
-	It("is stopped by the next owner also when that knows nothing of the job any more", func() {
+	It("is stopped by a next owner that no longer knows the job", func() {
 		r := newRig(1)
 		r.now = r.now.Add(runCheckInterval)
 		r.Listed("w0", Lists{Running: []Running{{Task: flow.TaskID{Job: "forgotten"}, Run: 7}}}, r.now, r.now)
--- a/cell/cell_test.go
+++ b/cell/cell_test.go
@@ -19,7 +19,7 @@
 	RunSpecs(t, "cell")
 }
 
-// rig is a cell with some workers and a clock.
+// rig is a cell with some workers and a manual clock.
 type rig struct {
 	*Cell
 	now  time.Time
@@ -51,13 +51,13 @@
 	r.Heard(w, r.now)
 }
 
-// add submits a job and has it kept.
+// add submits a job and marks it stored.
 func (r *rig) add(id string, steps ...flow.Step) {
 	r.Submit(&flow.Spec{ID: id, Queue: "q", Steps: steps}, r.now, r.now)
 	r.Keep(id)
 }
 
-// place decides, and lets the store keep what has to be kept first.
+// place decides, stores what has to be stored first, and decides again.
 func (r *rig) place() Actions {
 	a := r.Place(r.now, r.now, 4)
 	r.save()
@@ -69,7 +69,7 @@
 
 func (r *rig) save() { r.Saved(r.Saves(100), true) }
 
-// startAll accepts all starts.
+// startAll decides and accepts all starts.
 func (r *rig) startAll() []Start {
 	starts := r.place().Starts
 	for _, s := range starts {
@@ -85,7 +85,7 @@
 }
 
 var _ = Describe("a job", func() {
-	It("opens a step once all tasks of the steps before are done", func() {
+	It("opens a step once all tasks of the steps before it are done", func() {
 		r := newRig(2)
 		r.add("j", flow.Step{Count: 2, Demand: demand(1000)}, flow.Step{Count: 1, Demand: demand(1000), After: []int{0}})
 		starts := r.startAll()
@@ -97,13 +97,13 @@
 		Expect(last).To(HaveLen(1))
 		r.end(last[0], flow.EndDone)
 		s, _ := r.State("j")
-		Expect(s).To(Equal(flow.Running), "not shown before it is kept")
+		Expect(s).To(Equal(flow.Running), "not shown before it is stored")
 		r.save()
 		s, _ = r.State("j")
 		Expect(s).To(Equal(flow.Succeeded))
 	})
 
-	It("keeps its state when it is handed in again after its end", func() {
+	It("keeps its state when it is submitted again after its end", func() {
 		r := newRig(1)
 		r.add("j", flow.Step{Count: 1, Demand: demand(1000)})
 		r.end(r.startAll()[0], flow.EndDone)
@@ -113,7 +113,7 @@
 		Expect(s).To(Equal(flow.Succeeded))
 	})
 
-	It("is done with a gang once, however many members say so", func() {
+	It("counts a gang as done once, however many of its members end", func() {
 		r := newRig(2)
 		r.add("j",
 			flow.Step{Count: 3, Demand: demand(1000), Gang: true},
@@ -124,13 +124,13 @@
 		for _, s := range gang {
 			r.end(s, flow.EndDone)
 		}
-		Expect(r.place().Stops).To(BeEmpty(), "the others end by themselves")
+		Expect(r.place().Stops).To(BeEmpty(), "the other members end by themselves")
 		r.save()
 		s, _ := r.State("j")
 		Expect(s).To(Equal(flow.Running))
 	})
 
-	It("starts a gang all together or not at all", func() {
+	It("starts all members of a gang together or none", func() {
 		r := newRig(1)
 		r.add("j", flow.Step{Count: 5, Demand: demand(1000), Gang: true})
 		Expect(r.startAll()).To(BeEmpty())
@@ -139,15 +139,15 @@
 		Expect(r.startAll()).To(HaveLen(5))
 	})
 
-	It("has begun once a worker has a task of it, not when an order for one was decided", func() {
+	It("has begun once a worker has one of its tasks, not when an order is decided", func() {
 		r := newRig(1)
 		r.add("j", flow.Step{Count: 1, Demand: demand(1000)})
 		first := r.place().Starts[0]
 		s, _ := r.State("j")
 		Expect(s).To(Equal(flow.Pending))
-		Expect(r.Load().Pending["q"]).To(Equal(1), "the order is on its way")
+		Expect(r.Load().Pending["q"]).To(Equal(1), "the order is in flight")
 		r.Started(first.Worker, first.Task, first.Run, NoRoom, r.now)
-		Expect(r.Load().Pending["q"]).To(Equal(1), "the worker would not have it")
+		Expect(r.Load().Pending["q"]).To(Equal(1), "the worker refused the order")
 		r.Attached("w0", Lists{}, r.now)
 		second := r.place().Starts[0]
 		r.Started(second.Worker, second.Task, second.Run, Accepted, r.now)
@@ -156,7 +156,7 @@
 		Expect(s).To(Equal(flow.Running))
 	})
 
-	It("uses no numbers up and has not begun while a gang waits for room", func() {
+	It("uses up no run numbers and does not begin while a gang waits for room", func() {
 		r := newRig(1)
 		r.Submit(&flow.Spec{ID: "j", Queue: "q", Hall: "h", Steps: []flow.Step{{Count: 5, Demand: demand(1000), Gang: true}}}, r.now, r.now)
 		r.Keep("j")
@@ -172,14 +172,14 @@
 		Expect(starts[0].Run).To(Equal(1<<12 + 1))
 	})
 
-	It("fails when a task has failed as often as the queue allows, counted by run", func() {
+	It("fails when as many runs of a task have failed as the queue allows", func() {
 		r := newRig(1)
 		r.add("j", flow.Step{Count: 1, Demand: demand(1000)})
 		first := r.startAll()[0]
 		r.end(first, flow.EndFailed)
 		r.end(first, flow.EndFailed)
 		second := r.startAll()
-		Expect(second).To(HaveLen(1), "the same end twice is one attempt")
+		Expect(second).To(HaveLen(1), "the same end listed twice is one attempt")
 		Expect(second[0].Run).To(BeNumerically(">", first.Run))
 		r.end(second[0], flow.EndFailed)
 		r.save()
@@ -187,7 +187,7 @@
 		Expect(s).To(Equal(flow.Failed))
 	})
 
-	It("starts nothing before the store knows that the step is open", func() {
+	It("starts nothing before the store has recorded the hall", func() {
 		r := newRig(1)
 		r.add("j", flow.Step{Count: 1, Demand: demand(1000)})
 		Expect(r.Place(r.now, r.now, 0).Starts).To(BeEmpty())
@@ -197,7 +197,7 @@
 		Expect(r.Place(r.now, r.now, 0).Starts).To(HaveLen(1))
 	})
 
-	It("starts in its own hall without the store, and elsewhere once the store knows", func() {
+	It("starts in its own hall without the store, and elsewhere once the store has recorded the hall", func() {
 		r := newRig(1)
 		r.heard("far", func(w *Worker) { w.Hall = "other" })
 		r.Attached("far", Lists{}, r.now)
@@ -213,7 +213,7 @@
 		Expect(r.Place(r.now, r.now, 0).Starts).To(HaveLen(1))
 	})
 
-	It("does not start unwritten where neither it nor the worker names a hall", func() {
+	It("does not start before the store is told where neither it nor the worker names a hall", func() {
 		r := newRig(0)
 		r.heard("w", func(w *Worker) { w.Hall = "" })
 		r.Attached("w", Lists{}, r.now)
@@ -221,7 +221,7 @@
 		Expect(r.Place(r.now, r.now, 0).Starts).To(BeEmpty())
 	})
 
-	It("starts a time of a repeated job when it falls due", func() {
+	It("starts each repetition of a repeated job when it is due", func() {
 		r := newRig(1)
 		spec := &flow.Spec{ID: "j", Queue: "q", Times: 2, StartMS: r.now.Add(time.Second).UnixMilli(), EveryMS: 1000, Steps: []flow.Step{{Count: 1, Demand: demand(100)}}}
 		r.Submit(spec, r.now, r.now)
@@ -233,7 +233,7 @@
 		Expect(r.startAll()).To(HaveLen(1))
 	})
 
-	It("stops all that runs when it is cancelled", func() {
+	It("has all of its runs stopped when it is cancelled", func() {
 		r := newRig(1)
 		r.add("j", flow.Step{Count: 2, Demand: demand(1000), Lasting: true})
 		Expect(r.startAll()).To(HaveLen(2))
@@ -243,14 +243,14 @@
 })
 
 var _ = Describe("a worker", func() {
-	It("is never given more than it has", func() {
+	It("is never given more than it has room for", func() {
 		r := newRig(2)
 		r.add("j", flow.Step{Count: 20, Demand: demand(1500)})
 		Expect(r.startAll()).To(HaveLen(4))
 		Expect(r.startAll()).To(BeEmpty())
 	})
 
-	It("keeps its room taken until a stop is listed as ended", func() {
+	It("has the room of a stopped run back only once the end is listed", func() {
 		r := newRig(1)
 		r.add("a", flow.Step{Count: 1, Demand: demand(3000), Lasting: true})
 		s := r.startAll()[0]
@@ -262,7 +262,7 @@
 		Expect(r.startAll()).To(HaveLen(1))
 	})
 
-	It("gets nothing while an order's answer is lost, and its runs start elsewhere only when it is certain", func() {
+	It("gets nothing after an order's answer is lost, and its runs are restarted only when they certainly did not begin", func() {
 		r := newRig(2)
 		r.add("j", flow.Step{Count: 1, Demand: demand(4000)})
 		s := r.place().Starts[0]
@@ -274,7 +274,7 @@
 		Expect(again[0].Run).To(BeNumerically(">", s.Run))
 	})
 
-	It("gives up its runs when its lease is over", func() {
+	It("loses its runs when its lease has expired", func() {
 		r := newRig(2)
 		r.add("j", flow.Step{Count: 1, Demand: demand(4000)})
 		s := r.startAll()[0]
@@ -286,7 +286,7 @@
 		Expect(again[0].Worker).NotTo(Equal(s.Worker))
 	})
 
-	It("gets nothing more while an order goes without an answer", func() {
+	It("gets nothing more while an order is unanswered", func() {
 		r := newRig(1)
 		r.Silent("w0", true)
 		r.add("j", flow.Step{Count: 1, Demand: demand(1000)})
@@ -295,7 +295,7 @@
 		Expect(r.startAll()).To(HaveLen(1))
 	})
 
-	It("gets nothing while it leaves, and what lasts is moved away", func() {
+	It("gets nothing while it leaves, and its lasting tasks are moved", func() {
 		r := newRig(2)
 		r.add("j", flow.Step{Count: 1, Demand: demand(1000), Lasting: true})
 		s := r.startAll()[0]
@@ -308,7 +308,7 @@
 		Expect(again[0].Worker).NotTo(Equal(s.Worker))
 	})
 
-	It("is on probation after two failures in a row", func() {
+	It("is on probation after two consecutive failures", func() {
 		r := newRig(1)
 		r.add("a", flow.Step{Count: 2, Demand: demand(1000)})
 		for _, s := range r.startAll() {
@@ -317,10 +317,10 @@
 		r.add("b", flow.Step{Count: 1, Demand: demand(1000)})
 		Expect(r.startAll()).To(BeEmpty())
 		r.now = r.now.Add(minProbation + time.Millisecond)
-		Expect(r.startAll()).To(HaveLen(1), "one run to see how it ends")
+		Expect(r.startAll()).To(HaveLen(1), "one run on probation")
 	})
 
-	It("has a run stopped that stands still", func() {
+	It("has a stalled run stopped", func() {
 		r := newRig(2)
 		r.add("j", flow.Step{Count: 1, Demand: demand(1000), EstimateMS: 800})
 		s := r.startAll()[0]
@@ -331,7 +331,7 @@
 		Expect(r.place().Stops).To(HaveLen(1))
 	})
 
-	It("observes an end only once the store has it", func() {
+	It("is told to discard an end only once the store has it", func() {
 		r := newRig(1)
 		r.add("j", flow.Step{Count: 1, Demand: demand(1000)})
 		r.end(r.startAll()[0], flow.EndDone)
@@ -344,8 +344,8 @@
 	})
 })
 
-var _ = Describe("a guard", func() {
-	It("keeps a step off workers without the label that it needs", func() {
+var _ = Describe("placement", func() {
+	It("keeps a step off workers without the label that the step needs", func() {
 		r := newRig(1)
 		r.add("j", flow.Step{Count: 1, Demand: demand(1000), Needs: "b"})
 		Expect(r.startAll()).To(BeEmpty())
@@ -356,7 +356,7 @@
 		Expect(starts[0].Worker).To(Equal("w9"))
 	})
 
-	It("puts no more of a step on a worker than the step allows", func() {
+	It("puts no more tasks of a step on a worker than the step allows", func() {
 		r := newRig(2)
 		r.add("j", flow.Step{Count: 6, Demand: demand(100), PerWorker: 2})
 		starts := r.startAll()
@@ -368,14 +368,14 @@
 		Expect(on).To(Equal(map[string]int{"w0": 2, "w1": 2}))
 	})
 
-	It("places nothing on a worker whose entry is missing", func() {
+	It("puts nothing on a worker whose entry is missing", func() {
 		r := newRig(1)
 		r.Missing("w0")
 		r.add("j", flow.Step{Count: 1, Demand: demand(1000)})
 		Expect(r.startAll()).To(BeEmpty())
 	})
 
-	It("moves no more tasks of a lasting step at once than may be away", func() {
+	It("moves no more tasks of a lasting step at once than may be missing", func() {
 		r := newRig(2)
 		r.add("j", flow.Step{Count: 3, Demand: demand(1000), Lasting: true, MayMiss: 1})
 		starts := r.startAll()
@@ -387,7 +387,7 @@
 		Expect(r.place().Stops).To(HaveLen(1))
 	})
 
-	It("does not observe an end that came after the save was made", func() {
+	It("has no end discarded that came after the save was made", func() {
 		r := newRig(1)
 		r.add("j", flow.Step{Count: 2, Demand: demand(1000)})
 		starts := r.startAll()
@@ -400,7 +400,7 @@
 		Expect(r.Observed("w0")).To(Equal(2))
 	})
 
-	It("takes what waits for a lost worker for certain only", func() {
+	It("does not restart what an unsettled worker may be running, however long that takes", func() {
 		r := newRig(1)
 		r.heard("w9", func(*Worker) {})
 		r.Restore(&flow.Spec{ID: "k", Queue: "q", Steps: []flow.Step{{Count: 1, Demand: demand(1000)}}},
--- a/cell/crash_owner_test.go
+++ b/cell/crash_owner_test.go
@@ -11,8 +11,9 @@
 	"dewpass.org/flow"
 )
 
-// loseSilently has the workers of some runs fall silent together until their leases are over.
-func (r *rig) loseSilently(starts ...Start) {
+// loseWorkersSilently makes the workers of some runs fall silent together until their leases have
+// expired.
+func (r *rig) loseWorkersSilently(starts ...Start) {
 	r.now = r.now.Add(10 * time.Millisecond)
 	for _, s := range starts {
 		r.Unsure(s.Worker, r.now)
@@ -23,8 +24,9 @@
 	}
 }
 
-// Soak seed 43: a third start after the third crash, two of them under an owner that could not write.
-func TestTwoLossesUnderAnOwnerThatCannotWriteCountForTheNextOne(t *testing.T) {
+// Soak seed 43: a task was started a third time after its third crash; two of the crashes were
+// under an owner that could not write.
+func TestLossesUnderAnOwnerThatCannotWriteCountForTheNextOwner(t *testing.T) {
 	g := NewWithT(t)
 	spec := &flow.Spec{ID: "j", Queue: "q", Hall: "h", Steps: []flow.Step{{Count: 1, Demand: demand(1000)}}}
 	former := newRig(3)
@@ -37,9 +39,9 @@
 		former.Started(s.Worker, s.Task, s.Run, Accepted, former.now)
 	}
 	rec := former.jobs["j"].record()
-	former.loseSilently(first...)
+	former.loseWorkersSilently(first...)
 	crashed := 1
-	// Nothing is kept from here on.
+	// Nothing is stored from here on.
 	again := former.Place(former.now, former.now, 0).Starts
 	g.Expect(again).To(HaveLen(1), "one loss among several is no reason to wait for the store")
 	crashed++
@@ -59,45 +61,45 @@
 		if crashed >= 3 {
 			after++
 		}
-		next.loseSilently(starts...)
+		next.loseWorkersSilently(starts...)
 		crashed++
 	}
 	g.Expect(state(&crashSim{rig: next}, "j")).To(Equal(flow.Failed))
-	g.Expect(after).To(BeNumerically("<=", startsMost))
+	g.Expect(after).To(BeNumerically("<=", allowedLateStarts))
 }
 
-func TestCrashesAreKeptBeforeTheNextStartAndCountForTheNextOwner(t *testing.T) {
+func TestCrashesAreStoredBeforeTheNextStartAndCountForTheNextOwner(t *testing.T) {
 	g := NewWithT(t)
 	r := newRig(3)
 	spec := &flow.Spec{ID: "j", Queue: "q", Steps: []flow.Step{{Count: 1, Demand: demand(1000)}}}
 	r.Submit(spec, r.now, r.now)
 	r.Keep("j")
 	first := r.startAll()[0]
-	r.lose(first, 10*time.Millisecond)
-	g.Expect(r.Place(r.now, r.now, 0).Starts).To(BeEmpty(), "the store does not have it yet")
+	r.loseWorkerOf(first, 10*time.Millisecond)
+	g.Expect(r.Place(r.now, r.now, 0).Starts).To(BeEmpty(), "the store does not have the loss yet")
 	saves := r.Saves(10)
 	g.Expect(saves).To(HaveLen(1))
 	rec, err := flow.DecodeRecord(flow.Encode(saves[0].Record))
 	g.Expect(err).NotTo(HaveOccurred())
 	r.Saved(saves, false)
-	g.Expect(r.Place(r.now, r.now, 0).Starts).To(BeEmpty(), "the store did not take it")
+	g.Expect(r.Place(r.now, r.now, 0).Starts).To(BeEmpty(), "the store did not write the loss")
 	r.Saved(r.Saves(10), true)
 	second := r.Place(r.now, r.now, 0).Starts
 	g.Expect(second).To(HaveLen(1))
 
-	// The next owner takes the second run on, and its worker ends as well.
+	// The next owner adopts the second run, and its worker ends as well.
 	next := newRig(1)
 	next.now = r.now
 	next.Restore(spec, rec, next.now, next.now)
 	run := Running{Task: second[0].Task, Run: second[0].Run}
 	next.Attached("w0", Lists{Running: []Running{run}}, next.now)
-	next.lose(Start{Worker: "w0"}, 10*time.Millisecond)
+	next.loseWorkerOf(Start{Worker: "w0"}, 10*time.Millisecond)
 	next.save()
 	s, _ := next.State("j")
 	g.Expect(s).To(Equal(flow.Failed))
 }
 
-func TestRunThatWasLostWhileTheOwnerChangedCounts(t *testing.T) {
+func TestRunLostDuringAChangeOfOwnerCounts(t *testing.T) {
 	g := NewWithT(t)
 	spec := &flow.Spec{ID: "j", Queue: "q", Hall: "h", Steps: []flow.Step{{Count: 1, Demand: demand(1000)}}}
 	sole := []flow.Crash{{Run: 77, Blame: flow.BlameSole}}
@@ -112,7 +114,7 @@
 		{nil, false, nil},
 	} {
 		r := newRig(1)
-		// A worker of the former owner that the directory has forgotten.
+		// A worker of the former owner that has disappeared from the directory.
 		r.Heard(Worker{ID: "old", Hall: "h", Gone: true}, r.now)
 		rec := &flow.Record{State: flow.Running, Stages: []flow.StageRecord{{Crashes: map[int][]flow.Crash{0: c.before}}}}
 		r.Restore(spec, rec, r.now, r.now)
@@ -133,21 +135,22 @@
 	}
 }
 
-// Five owners followed each other in 12 s, each of which started a task again that had crashed
-// its worker beside others, before that was kept: the next one began to count anew.
-func TestSharedCrashIsKeptBeforeTheNextStart(t *testing.T) {
+// Guards against a loss that is not stored before the next start: five owners replaced each other
+// within 12 s, and each restarted a task that had crashed its worker among other runs before the
+// loss was stored, so that the next owner counted from the start.
+func TestSharedCrashIsStoredBeforeTheNextStart(t *testing.T) {
 	g := NewWithT(t)
 	r := newRig(3)
 	r.add("j", flow.Step{Count: 2, Demand: demand(1000)})
 	first := r.startAll()
 	g.Expect(first[0].Worker).To(Equal(first[1].Worker))
-	r.lose(first[0], 10*time.Millisecond)
-	g.Expect(r.Place(r.now, r.now, 0).Starts).To(BeEmpty(), "the store does not have it yet")
+	r.loseWorkerOf(first[0], 10*time.Millisecond)
+	g.Expect(r.Place(r.now, r.now, 0).Starts).To(BeEmpty(), "the store does not have the loss yet")
 	r.Saved(r.Saves(10), true)
 	g.Expect(r.Place(r.now, r.now, 0).Starts).To(HaveLen(1))
 }
 
-func TestRunThatIsLostTwiceCountsOnce(t *testing.T) {
+func TestRunReportedLostTwiceCountsOnce(t *testing.T) {
 	g := NewWithT(t)
 	rec := &flow.Record{State: flow.Running, Stages: []flow.StageRecord{{
 		Crashes: map[int][]flow.Crash{0: {{Run: 77, Blame: flow.BlameSole}}},
@@ -155,14 +158,15 @@
 	r := newRig(1)
 	r.Restore(&flow.Spec{ID: "j", Queue: "q", Steps: []flow.Step{{Count: 1, Demand: demand(1000)}}}, rec, r.now, r.now)
 	r.Attached("w0", Lists{Running: []Running{{Task: flow.TaskID{Job: "j"}, Run: 77}}}, r.now)
-	r.lose(Start{Worker: "w0"}, 10*time.Millisecond)
+	r.loseWorkerOf(Start{Worker: "w0"}, 10*time.Millisecond)
 	r.save()
 	s, _ := r.State("j")
 	g.Expect(s).To(Equal(flow.Running))
 }
 
-// Soak seed 7: a task that was lost once, and waited while the owner changed three times, was given up.
-func TestLossesThatNobodySawGiveNoTaskUp(t *testing.T) {
+// Soak seed 7: a task that was lost once, and then waited through three changes of owner, was given
+// up.
+func TestInheritedLossesAloneDoNotGiveATaskUp(t *testing.T) {
 	g := NewWithT(t)
 	inherited := func(run int, blame flow.Blame) flow.Crash { return flow.Crash{Run: run, Blame: blame, Inherited: true} }
 	seen := func(run int) flow.Crash { return flow.Crash{Run: run, Blame: flow.BlameShared, AgeMS: 143} }
--- a/cell/crash_sim_test.go
+++ b/cell/crash_sim_test.go
@@ -11,35 +11,34 @@
 	"dewpass.org/flow"
 )
 
-// crashSim is a cell whose workers are crashed by what runs on them, and by faults of their
-// own. Time passes in steps.
+// crashSim simulates a cell whose workers are crashed by their tasks and by faults of their own.
+// Time advances in steps.
 type crashSim struct {
 	*rig
 	random *rand.Rand
-	// crashAfter returns how long after its start a task ends its worker's process, 0 if it
-	// does not.
+	// crashAfter returns how long after its start a task crashes its worker, 0 if it does not.
 	crashAfter func(flow.TaskID) time.Duration
-	// length is how long a task works.
+	// length is how long a task runs.
 	length time.Duration
-	// downFor is how long a worker that has crashed is away.
+	// downFor is how long a crashed worker is away.
 	downFor time.Duration
 
-	places  []*simPlace
+	hosts   []*simHost
 	starts  map[flow.TaskID]int
 	crashes map[flow.TaskID]int
-	// late counts the starts of a task after it had crashed three workers.
-	late map[flow.TaskID]int
+	// lateStarts counts the starts of each task after it had crashed three workers.
+	lateStarts map[flow.TaskID]int
 }
 
-// simPlace is an address and what lives there.
-type simPlace struct {
-	id   string
-	life int
-	rack string
-	runs []simRun
-	ends int
-	// down is until when nobody is there.
-	down time.Time
+// simHost is an address and the incarnations of the worker there.
+type simHost struct {
+	id          string
+	incarnation int
+	rack        string
+	runs        []simRun
+	ends        int
+	// downUntil is when the next incarnation begins, zero while a worker is there.
+	downUntil time.Time
 }
 
 type simRun struct {
@@ -49,49 +48,49 @@
 
 const (
 	simStep = 10 * time.Millisecond
-	// lasts is the length of tasks that go on until they are stopped.
-	lasts = time.Hour
+	// endless is the length of tasks that run until they are stopped.
+	endless = time.Hour
 )
 
 func newCrashSim(seed uint64, racks, perRack int) *crashSim {
 	s := &crashSim{
 		rig: newRig(0), random: rand.New(rand.NewPCG(seed, 1)), length: 800 * time.Millisecond, downFor: time.Second,
 		crashAfter: func(flow.TaskID) time.Duration { return 0 },
-		starts:     make(map[flow.TaskID]int), crashes: make(map[flow.TaskID]int), late: make(map[flow.TaskID]int),
+		starts:     make(map[flow.TaskID]int), crashes: make(map[flow.TaskID]int), lateStarts: make(map[flow.TaskID]int),
 	}
 	for r := range racks {
 		for w := range perRack {
-			p := &simPlace{id: fmt.Sprintf("w%d-%d", r, w), rack: fmt.Sprintf("r%d", r)}
-			s.places = append(s.places, p)
-			s.appear(p)
+			p := &simHost{id: fmt.Sprintf("w%d-%d", r, w), rack: fmt.Sprintf("r%d", r)}
+			s.hosts = append(s.hosts, p)
+			s.attachHost(p)
 		}
 	}
 	return s
 }
 
-func (p *simPlace) name() string { return fmt.Sprintf("%s/%d", p.id, p.life) }
+func (p *simHost) name() string { return fmt.Sprintf("%s/%d", p.id, p.incarnation) }
 
-// appear lets the present life of a place be known and attached.
-func (s *crashSim) appear(p *simPlace) {
+// attachHost makes the present incarnation on a host known and attaches it.
+func (s *crashSim) attachHost(p *simHost) {
 	s.heard(p.name(), func(w *Worker) { w.Addr, w.Rack = p.id, p.rack })
 	s.Attached(p.name(), Lists{}, s.now)
 }
 
-// crash ends the life at a place.
-func (s *crashSim) crash(p *simPlace) {
-	if s.now.Before(p.down) {
+// crash ends the incarnation on a host.
+func (s *crashSim) crash(p *simHost) {
+	if s.now.Before(p.downUntil) {
 		return
 	}
 	s.Unsure(p.name(), s.now)
 	s.HungUp(p.name(), true)
-	p.runs, p.down = nil, s.now.Add(s.downFor)
+	p.runs, p.downUntil = nil, s.now.Add(s.downFor)
 }
 
-// step lets a little time pass.
+// step advances the simulation by simStep.
 func (s *crashSim) step() {
 	s.now = s.now.Add(simStep)
-	for _, p := range s.places {
-		s.pass(p)
+	for _, p := range s.hosts {
+		s.advance(p)
 	}
 	s.save()
 	a := s.Place(s.now, s.now, 0)
@@ -104,15 +103,15 @@
 	}
 }
 
-func (s *crashSim) pass(p *simPlace) {
-	if !p.down.IsZero() {
-		if s.now.Before(p.down) {
+func (s *crashSim) advance(p *simHost) {
+	if !p.downUntil.IsZero() {
+		if s.now.Before(p.downUntil) {
 			return
 		}
 		s.Forget(p.name(), LossReborn, s.now)
-		p.down, p.ends = time.Time{}, 0
-		p.life++
-		s.appear(p)
+		p.downUntil, p.ends = time.Time{}, 0
+		p.incarnation++
+		s.attachHost(p)
 	}
 	for _, r := range slices.Clone(p.runs) {
 		if after := s.crashAfter(r.Task); after > 0 && s.now.Sub(r.begun) >= after {
@@ -127,12 +126,12 @@
 	s.list(p)
 }
 
-// list has a place list what runs there.
-func (s *crashSim) list(p *simPlace) {
+// list lists the runs on a host.
+func (s *crashSim) list(p *simHost) {
 	var rows []Running
 	for _, r := range p.runs {
 		percent := 100
-		if s.length < lasts {
+		if s.length < endless {
 			percent = int(min(99, 100*s.now.Sub(r.begun)/s.length))
 		}
 		rows = append(rows, Running{Task: r.Task, Run: r.Run, Percent: percent})
@@ -140,28 +139,28 @@
 	s.Listed(p.name(), Lists{Running: rows}, s.now, s.now)
 }
 
-func (s *crashSim) ended(p *simPlace, r simRun, how flow.End) {
+func (s *crashSim) ended(p *simHost, r simRun, how flow.End) {
 	p.runs = slices.DeleteFunc(p.runs, func(o simRun) bool { return o.Task == r.Task })
 	p.ends++
 	s.EndsListed(p.name(), Lists{Finished: []Finished{{Number: p.ends, Task: r.Task, Run: r.Run, How: how}}}, s.now)
 }
 
-func (s *crashSim) place(worker string) *simPlace {
-	return s.places[slices.IndexFunc(s.places, func(p *simPlace) bool { return p.name() == worker })]
+func (s *crashSim) hostOf(worker string) *simHost {
+	return s.hosts[slices.IndexFunc(s.hosts, func(p *simHost) bool { return p.name() == worker })]
 }
 
 func (s *crashSim) started(st Start) {
 	s.starts[st.Task]++
 	if s.crashes[st.Task] >= 3 {
-		s.late[st.Task]++
+		s.lateStarts[st.Task]++
 	}
-	p := s.place(st.Worker)
+	p := s.hostOf(st.Worker)
 	p.runs = append(p.runs, simRun{st, s.now})
 	s.Started(st.Worker, st.Task, st.Run, Accepted, s.now)
 }
 
 func (s *crashSim) stopped(st Stop) {
-	p := s.place(st.Worker)
+	p := s.hostOf(st.Worker)
 	for _, r := range p.runs {
 		if r.Task == st.Task && r.Run == st.Run {
 			s.ended(p, r, flow.EndStopped)
@@ -170,8 +169,8 @@
 	}
 }
 
-// run lets time pass until all jobs are over, for at most so long, and reports whether they are.
-// Without jobs it lets all that time pass.
+// run advances the simulation until all jobs have ended, for at most so long, and reports whether
+// they have. Without jobs it runs for the whole time.
 func (s *crashSim) run(most time.Duration, jobs ...string) bool {
 	for end := s.now.Add(most); s.now.Before(end); {
 		s.step()
@@ -182,8 +181,8 @@
 	return false
 }
 
-// all returns how many workers all tasks have crashed, and the most of any one.
-func (s *crashSim) all() (sum, most int) {
+// crashTotals returns how many workers all tasks have crashed, and the most that one task has.
+func (s *crashSim) crashTotals() (sum, most int) {
 	for _, n := range s.crashes {
 		sum += n
 		most = max(most, n)
@@ -191,10 +190,10 @@
 	return sum, most
 }
 
-// latest returns the most starts of any task after it had crashed three workers.
-func (s *crashSim) latest() int {
+// maxLateStarts returns the most starts of any task after it had crashed three workers.
+func (s *crashSim) maxLateStarts() int {
 	most := 0
-	for _, n := range s.late {
+	for _, n := range s.lateStarts {
 		most = max(most, n)
 	}
 	return most
--- a/cell/crash_test.go
+++ b/cell/crash_test.go
@@ -12,13 +12,15 @@
 	"dewpass.org/flow"
 )
 
-// A task that ends its worker's process was started again without end.
+// These tests guard against restarting a task without end when it crashes every worker that runs
+// it.
 
-// startsMost is how many starts there may be after a task has crashed three workers.
-const startsMost = 2
+// allowedLateStarts is how many starts a task may have after it has crashed three workers.
+const allowedLateStarts = 2
 
-// crashing returns what has the tasks of some jobs crash their workers.
-func crashing(after time.Duration, jobs ...string) func(flow.TaskID) time.Duration {
+// crashJobsAfter returns a crashAfter function that makes the tasks of some jobs crash their
+// workers.
+func crashJobsAfter(after time.Duration, jobs ...string) func(flow.TaskID) time.Duration {
 	return func(t flow.TaskID) time.Duration {
 		for _, id := range jobs {
 			if t.Job == id {
@@ -38,12 +40,12 @@
 	for _, after := range []time.Duration{10 * time.Millisecond, 300 * time.Millisecond} {
 		g := NewWithT(t)
 		s := newCrashSim(1, 4, 2)
-		s.crashAfter = crashing(after, "bad")
+		s.crashAfter = crashJobsAfter(after, "bad")
 		s.add("bad", flow.Step{Count: 1, Demand: demand(1000)})
 		g.Expect(s.run(10*time.Second, "bad")).To(BeTrue())
 		g.Expect(state(s, "bad")).To(Equal(flow.Failed))
-		_, most := s.all()
-		g.Expect(most).To(Equal(2), "alone from the first, it takes two workers")
+		_, most := s.crashTotals()
+		g.Expect(most).To(Equal(2), "a task that always ran alone is given up after two workers")
 	}
 }
 
@@ -51,23 +53,23 @@
 	g := NewWithT(t)
 	s := newCrashSim(1, 4, 2)
 	s.length = 20 * time.Second
-	s.crashAfter = crashing(4*time.Second, "bad")
+	s.crashAfter = crashJobsAfter(4*time.Second, "bad")
 	s.add("bad", flow.Step{Count: 1, Demand: demand(1000), EstimateMS: 20_000})
 	for i := range 6 {
 		s.add(fmt.Sprintf("good%d", i), flow.Step{Count: 3, Demand: demand(1000), EstimateMS: 20_000})
 	}
 	g.Expect(s.run(40*time.Second, "bad")).To(BeTrue())
-	g.Expect(s.latest()).To(BeNumerically("<=", startsMost))
+	g.Expect(s.maxLateStarts()).To(BeNumerically("<=", allowedLateStarts))
 	for i := range 6 {
 		g.Expect(state(s, fmt.Sprintf("good%d", i))).NotTo(Equal(flow.Failed))
 	}
 }
 
-func TestNeighboursOfCrashesAreNotGivenUp(t *testing.T) {
+func TestNeighborsOfCrashingTasksAreNotGivenUp(t *testing.T) {
 	for seed := range uint64(10) {
 		g := NewWithT(t)
 		s := newCrashSim(seed, 4, 2)
-		s.crashAfter = crashing(10*time.Millisecond, "bad0", "bad1", "bad2")
+		s.crashAfter = crashJobsAfter(10*time.Millisecond, "bad0", "bad1", "bad2")
 		var jobs []string
 		for i := range 30 {
 			id := fmt.Sprintf("good%d", i)
@@ -86,7 +88,7 @@
 			}
 			g.Expect(state(s, id)).To(Equal(want), "%s of seed %d", id, seed)
 		}
-		g.Expect(s.latest()).To(BeNumerically("<=", startsMost), "seed %d", seed)
+		g.Expect(s.maxLateStarts()).To(BeNumerically("<=", allowedLateStarts), "seed %d", seed)
 	}
 }
 
@@ -101,8 +103,8 @@
 	}
 	s.add("bad", flow.Step{Count: 4, Demand: demand(4000), Gang: true})
 	for end := s.now.Add(20 * time.Second); s.now.Before(end) && state(s, "bad") != flow.Failed; s.step() {
-		// The others of a gang end with the first that is lost.
-		for _, p := range s.places {
+		// The other members of a gang end with the first one that is lost.
+		for _, p := range s.hosts {
 			for _, r := range p.runs {
 				if s.crashes[flow.TaskID{Job: "bad", Index: 1}] >= s.starts[r.Task] {
 					s.ended(p, r, flow.EndBroken)
@@ -111,26 +113,26 @@
 		}
 	}
 	g.Expect(state(s, "bad")).To(Equal(flow.Failed))
-	g.Expect(s.latest()).To(BeNumerically("<=", startsMost))
+	g.Expect(s.maxLateStarts()).To(BeNumerically("<=", allowedLateStarts))
 }
 
 func TestCopiesThatCrashTheirWorkersAreGivenUp(t *testing.T) {
 	g := NewWithT(t)
 	s := newCrashSim(1, 4, 2)
 	s.downFor = 4 * time.Second
-	s.crashAfter = crashing(10*time.Millisecond, "bad")
+	s.crashAfter = crashJobsAfter(10*time.Millisecond, "bad")
 	s.add("bad", flow.Step{Count: 1, Demand: demand(1000), Copies: true})
 	g.Expect(s.run(30*time.Second, "bad")).To(BeTrue())
-	_, most := s.all()
+	_, most := s.crashTotals()
 	g.Expect(most).To(BeNumerically("<=", 3))
 }
 
-func TestCopiesAreNotStartedWhileLossesOfTheirTaskAreNotKnown(t *testing.T) {
+func TestNoCopiesWhileLossesOfTheirTaskAreUnconfirmed(t *testing.T) {
 	const tasks = 4
 	for seed := range uint64(10) {
 		g := NewWithT(t)
 		s := newCrashSim(seed, 16, 8)
-		// Another life is there seconds after a copy would be started elsewhere.
+		// The next incarnation appears seconds after a copy would be started elsewhere.
 		s.downFor, s.length = 3300*time.Millisecond, 600*time.Millisecond
 		s.crashAfter = func(t flow.TaskID) time.Duration {
 			return map[int]time.Duration{tasks - 1: 10 * time.Millisecond}[t.Index]
@@ -142,11 +144,11 @@
 			s.run(150 * time.Millisecond)
 		}
 		g.Expect(s.run(2*time.Minute, jobs...)).To(BeTrue(), "seed %d", seed)
-		g.Expect(s.latest()).To(BeNumerically("<=", startsMost), "seed %d", seed)
+		g.Expect(s.maxLateStarts()).To(BeNumerically("<=", allowedLateStarts), "seed %d", seed)
 	}
 }
 
-func TestTrialThatEndsItsWorkerLateGetsNoCopy(t *testing.T) {
+func TestTrialThatCrashesItsWorkerLateGetsNoCopy(t *testing.T) {
 	g := NewWithT(t)
 	r := newRig(3)
 	r.add("j", flow.Step{Count: 2, Demand: demand(1000), Copies: true})
@@ -155,7 +157,7 @@
 	r.Unsure(first[0].Worker, r.now)
 	r.HungUp(first[0].Worker, true)
 	r.Forget(first[0].Worker, LossReborn, r.now)
-	// Where another trial of the job went well, one that is under way does not hold up the next.
+	// After another trial of the job went well, a trial in progress does not hold up the next.
 	passed := r.startAll()
 	g.Expect(passed).To(HaveLen(1))
 	r.end(passed[0], flow.EndDone)
@@ -168,7 +170,7 @@
 	g.Expect(r.startAll()).To(BeEmpty())
 }
 
-func TestCopyIsNotStartedOfARunThatMayJustHaveEndedItsWorker(t *testing.T) {
+func TestNoCopyOfARunThatMayHaveCrashedItsWorker(t *testing.T) {
 	for _, hungUp := range []bool{false, true} {
 		g := NewWithT(t)
 		r := newRig(2)
@@ -189,34 +191,34 @@
 	}
 }
 
-func TestTaskThatLastsAndCrashesItsWorkersIsGivenUp(t *testing.T) {
+func TestLastingTaskThatCrashesItsWorkersIsGivenUp(t *testing.T) {
 	g := NewWithT(t)
 	s := newCrashSim(1, 4, 2)
-	s.length = lasts
-	s.crashAfter = crashing(10*time.Millisecond, "bad")
+	s.length = endless
+	s.crashAfter = crashJobsAfter(10*time.Millisecond, "bad")
 	s.add("bad", flow.Step{Count: 3, Demand: demand(1000), Lasting: true})
 	g.Expect(s.run(20*time.Second, "bad")).To(BeTrue())
 	g.Expect(state(s, "bad")).To(Equal(flow.Failed))
-	g.Expect(s.latest()).To(BeNumerically("<=", startsMost))
+	g.Expect(s.maxLateStarts()).To(BeNumerically("<=", allowedLateStarts))
 }
 
-func TestPartOfAJobOfAnotherCellGivesUpTheTaskAlone(t *testing.T) {
+func TestPartOfAnotherCellsJobGivesUpOnlyTheTask(t *testing.T) {
 	g := NewWithT(t)
 	s := newCrashSim(1, 4, 2)
-	s.Name, s.length = "b", lasts
+	s.Name, s.length = "b", endless
 	s.crashAfter = func(t flow.TaskID) time.Duration { return map[int]time.Duration{1: 10 * time.Millisecond}[t.Index] }
 	s.Submit(&flow.Spec{ID: "j", Queue: "q", Cell: "a", Shares: []string{"b"}, Steps: []flow.Step{{Count: 4, Demand: demand(1000), Lasting: true}}}, s.now, s.now)
 	s.Keep("j")
 	s.run(30 * time.Second)
 	g.Expect(state(s, "j")).To(Equal(flow.Running))
-	g.Expect(s.latest()).To(BeNumerically("<=", startsMost))
+	g.Expect(s.maxLateStarts()).To(BeNumerically("<=", allowedLateStarts))
 	last := s.crashes[flow.TaskID{Job: "j", Index: 1}]
 	s.run(30 * time.Second)
-	g.Expect(s.crashes[flow.TaskID{Job: "j", Index: 1}]).To(Equal(last), "it is started no more")
-	g.Expect(s.starts).To(HaveLen(2), "of four tasks two are this cell's")
+	g.Expect(s.crashes[flow.TaskID{Job: "j", Index: 1}]).To(Equal(last), "the task is not started any more")
+	g.Expect(s.starts).To(HaveLen(2), "two of the four tasks belong to this cell")
 }
 
-func TestWorkersLostTogetherAreNotHeldAgainstTasks(t *testing.T) {
+func TestWorkersLostTogetherDoNotCountAgainstTasks(t *testing.T) {
 	g := NewWithT(t)
 	s := newCrashSim(1, 4, 3)
 	s.length = 3 * time.Second
@@ -229,7 +231,7 @@
 		s.run(900 * time.Millisecond)
 		rack := s.random.IntN(4)
 		for i := range 3 {
-			s.crash(s.places[3*rack+i])
+			s.crash(s.hosts[3*rack+i])
 		}
 	}
 	g.Expect(s.run(time.Minute, jobs...)).To(BeTrue())
@@ -238,7 +240,7 @@
 	}
 }
 
-func TestWorkersThatAreCutOffAreNotHeldAgainstTasks(t *testing.T) {
+func TestWorkersCutOffDoNotCountAgainstTasks(t *testing.T) {
 	g := NewWithT(t)
 	r := newRig(1)
 	r.add("j", flow.Step{Count: 1, Demand: demand(1000)})
@@ -273,10 +275,10 @@
 	}
 	s, _ := r.State("j")
 	g.Expect(s).To(Equal(flow.Failed))
-	g.Expect(n).To(Equal(3 + startsMost))
+	g.Expect(n).To(Equal(3 + allowedLateStarts))
 }
 
-func TestHallsThatAreCutOffAreNotHeldAgainstTasks(t *testing.T) {
+func TestHallsCutOffDoNotCountAgainstTasks(t *testing.T) {
 	g := NewWithT(t)
 	r := newRig(4)
 	r.add("j", flow.Step{Count: 1, Demand: demand(1000)})
@@ -302,7 +304,7 @@
 	}
 }
 
-func TestWorkersThatLeaveAreNotHeldAgainstTasks(t *testing.T) {
+func TestLeavingWorkersDoNotCountAgainstTasks(t *testing.T) {
 	g := NewWithT(t)
 	r := newRig(0)
 	r.add("j", flow.Step{Count: 1, Demand: demand(1000), Lasting: true})
@@ -319,8 +321,8 @@
 	g.Expect(s).To(Equal(flow.Running))
 }
 
-// A worker that was about to leave was crashed by a task 1.9 s before its time, which counted as its
-// leaving.
+// Guards against ignoring crashes of leaving workers: a task crashed a worker 1.9 s before the
+// worker was due to leave, and the loss was taken for its leaving.
 func TestWorkerThatIsLostWellBeforeItLeavesCounts(t *testing.T) {
 	g := NewWithT(t)
 	for _, early := range []bool{true, false} {
@@ -328,13 +330,13 @@
 		r.add("j", flow.Step{Count: 1, Demand: demand(1000)})
 		s := r.startAll()[0]
 		r.heard("w0", func(w *Worker) { w.Draining, w.Remaining = true, 2*time.Second })
-		r.lose(s, map[bool]time.Duration{true: 100 * time.Millisecond, false: 2 * time.Second}[early])
+		r.loseWorkerOf(s, map[bool]time.Duration{true: 100 * time.Millisecond, false: 2 * time.Second}[early])
 		g.Expect(r.jobs["j"].stages[0].tasks[0].crashes).To(HaveLen(map[bool]int{true: 1, false: 0}[early]))
 	}
 }
 
-// lose has the worker of a run end, alone.
-func (r *rig) lose(s Start, after time.Duration) {
+// loseWorkerOf ends the worker of a run, and no other.
+func (r *rig) loseWorkerOf(s Start, after time.Duration) {
 	r.now = r.now.Add(after)
 	r.Unsure(s.Worker, r.now)
 	r.HungUp(s.Worker, true)
@@ -342,18 +344,18 @@
 	r.Forget(s.Worker, LossReborn, r.now)
 }
 
-func TestWorkerOfARunThatIsNotKnownMayBeLost(t *testing.T) {
+func TestWorkerWithARunOfAnUnknownJobMayBeLost(t *testing.T) {
 	g := NewWithT(t)
 	r := newRig(1)
 	r.Attached("w0", Lists{Running: []Running{{Task: flow.TaskID{Job: "gone", Index: 3}, Run: 77}}}, r.now)
-	r.lose(Start{Worker: "w0"}, time.Second)
+	r.loseWorkerOf(Start{Worker: "w0"}, time.Second)
 	g.Expect(r.LostRuns()).To(HaveLen(1))
 }
 
-// After its connections had gone silent a worker's end was seen 1.5 s late. By that a task that
-// had crashed it 16 ms after its start seemed to have gone on for long, and its neighbours,
-// started later, to be the ones to blame.
-func TestEndThatIsSeenLateMakesNoRunOld(t *testing.T) {
+// Guards against blaming the wrong run when a loss is noticed late: connections had gone silent, so
+// a worker's end was noticed 1.5 s late. The task that had crashed it 16 ms after its start then
+// seemed to have run for long, and its neighbors, started later, were blamed.
+func TestLossDetectedLateDoesNotAgeRuns(t *testing.T) {
 	g := NewWithT(t)
 	for _, seen := range []bool{true, false} {
 		r := newRig(1)
@@ -370,10 +372,11 @@
 	}
 }
 
-// On days with dozens of such tasks, with ends at any time, beside workers and racks that fail by
-// themselves, two whose runs took about as long ended their workers in step, and each was taken
-// for the other's rack without power; and a task was given up that had lost four workers by chance.
-func TestDaysOfManyCrashes(t *testing.T) {
+// Guards against wrong verdicts where dozens of tasks crash workers at any age, while workers and
+// racks also fail by themselves. Two tasks that ran for about the same time crashed their workers
+// in step, and each loss was taken for part of a power failure that explained the other; and a task
+// was given up that had lost four workers by chance.
+func TestManyCrashingTasksAmongOtherFaults(t *testing.T) {
 	for seed := range uint64(20) {
 		g := NewWithT(t)
 		s := newCrashSim(seed, 6, 8)
@@ -403,7 +406,7 @@
 			if s.random.IntN(15) == 0 {
 				rack, n := s.random.IntN(6), 1+s.random.IntN(8)
 				for k := range n {
-					s.crash(s.places[8*rack+k])
+					s.crash(s.hosts[8*rack+k])
 				}
 			}
 		}
@@ -415,6 +418,6 @@
 			}
 			g.Expect(state(s, id)).To(Equal(want), "%s of seed %d", id, seed)
 		}
-		g.Expect(s.latest()).To(BeNumerically("<=", startsMost), "seed %d", seed)
+		g.Expect(s.maxLateStarts()).To(BeNumerically("<=", allowedLateStarts), "seed %d", seed)
 	}
 }
--- a/cell/empty_test.go
+++ b/cell/empty_test.go
@@ -11,15 +11,15 @@
 	"dewpass.org/flow"
 )
 
-var _ = Describe("a worker that is emptied", func() {
+var _ = Describe("a worker under evacuation", func() {
 	const patience = 2 * time.Second
 	atWork := func(r *rig, s Start) {
 		r.Listed(s.Worker, Lists{Running: []Running{{Task: s.Task, Run: s.Run, Percent: 100}}, Cut: true}, r.now, r.now)
 	}
 
-	It("gets nothing new, and may go when nothing runs there", func() {
+	It("gets nothing new, and may be taken down when nothing runs there", func() {
 		r := newRig(1)
-		Expect(r.Emptied("w0", r.now)).To(BeFalse(), "nobody asked")
+		Expect(r.Emptied("w0", r.now)).To(BeFalse(), "it is not under evacuation")
 		r.Empty([]string{"w0"}, patience, r.now)
 		Expect(r.Emptied("w0", r.now)).To(BeTrue())
 		r.add("j", flow.Step{Count: 1, Demand: demand(1000)})
@@ -28,26 +28,26 @@
 		Expect(r.startAll()).To(HaveLen(1))
 	})
 
-	It("may not go while it is not known what runs there", func() {
+	It("may not be taken down while it is not known what runs there", func() {
 		r := newRig(1)
 		r.Empty([]string{"w0"}, patience, r.now)
 		r.Unsure("w0", r.now)
 		Expect(r.Emptied("w0", r.now)).To(BeFalse())
 	})
 
-	It("has left only when all its ends are kept", func() {
+	It("is drained only when all its ends are stored", func() {
 		r := newRig(1)
 		r.add("j", flow.Step{Count: 1, Demand: demand(1000)})
 		s := r.startAll()[0]
 		r.heard("w0", func(w *Worker) { w.Draining, w.Remaining = true, time.Second })
 		Expect(r.Left("w0")).To(BeFalse())
 		r.end(s, flow.EndDone)
-		Expect(r.Left("w0")).To(BeFalse(), "the end is not kept")
+		Expect(r.Left("w0")).To(BeFalse(), "the end is not stored")
 		r.save()
 		Expect(r.Left("w0")).To(BeTrue())
 	})
 
-	It("is waited for while tasks run that end in time, and not for ever", func() {
+	It("may finish its tasks until the deadline", func() {
 		r := newRig(1)
 		r.add("j", flow.Step{Count: 1, Demand: demand(1000), EstimateMS: 500})
 		Expect(r.startAll()).To(HaveLen(1))
@@ -59,7 +59,7 @@
 		Expect(r.Emptied("w0", r.now)).To(BeTrue(), "patience counts from the first call")
 	})
 
-	It("has what lasts moved, and never goes while a step would miss too many", func() {
+	It("has its lasting tasks moved, and stays while a step would miss too many", func() {
 		r := newRig(2)
 		r.add("j", flow.Step{Count: 2, Demand: demand(1000), Lasting: true, MayMiss: 1, PerWorker: 1})
 		starts := r.startAll()
@@ -74,6 +74,6 @@
 		r.heard("w2", func(*Worker) {})
 		r.Attached("w2", Lists{}, r.now)
 		Expect(r.place().Stops).To(HaveLen(1))
-		Expect(r.Emptied("w0", r.now)).To(BeTrue(), "it is being stopped anyway")
+		Expect(r.Emptied("w0", r.now)).To(BeTrue(), "its task is being stopped")
 	})
 })
--- a/cell/large_load_test.go
+++ b/cell/large_load_test.go
@@ -13,16 +13,16 @@
 	"dewpass.org/sched"
 )
 
-// What happened: with tasks that need up to all accelerators of a worker, and jobs of
-// small tasks of a less urgent queue that together ask for nearly all accelerators of a
-// pool, a seventh of the large ones were late and the slowest took 40 s, though they take
-// 4 s and come first in the order. A worker that one task had left was given to a small
-// one at once; the policy, which lets a large task use four workers of thirteen, was asked
-// only when one of them was free, and by the time of its answer, half a second later,
-// that worker was not free any more. Nothing was ever kept free for the large ones.
+// Guards against large tasks waiting behind small ones. Large tasks need up to all accelerators of
+// a worker, while small tasks of a less urgent queue together ask for nearly all accelerators of
+// the pool. A seventh of the large jobs were late and the slowest took 40 s, though they take 4 s
+// and come first in the order: a worker that became free was given to a small task at once. The
+// policy, which permits four workers of thirteen for a large task, was asked only when one of them
+// was free, and half a second later, at the time of its answer, that worker was taken again. No
+// room was reserved for the large tasks.
 
-// largeLoad is that load, for a minute: large tasks, alone, a few at a time or in gangs, and
-// small ones, of which twice as many come in the last third of the time.
+// largeLoad returns a minute of that load: large tasks, alone, a few at a time or in gangs, and
+// small ones, which come nearly twice as often in the last third of the time.
 func largeLoad(seed uint64, gang bool) *replay {
 	r := newReplay(seed, []Queue{
 		{Name: "large", Pool: "p", Priority: 1, MaxAttempts: 3, Stretch: 2.2, Target: time.Second,
@@ -66,18 +66,18 @@
 			for seed := range uint64(seeds) {
 				base := largeLoad(seed, gang).playGreedy(100*time.Second, false)
 				GinkgoWriter.Printf("seed %d, first come first fit: large %v\n", seed, base["large"])
-				greedy += base["large"].worth() / seeds
+				greedy += base["large"].credit() / seeds
 				base = largeLoad(seed, gang).playGreedy(100*time.Second, true)
 				GinkgoWriter.Printf("seed %d, strict priority: large %v\n", seed, base["large"])
-				inOrder += base["large"].worth() / seeds
+				inOrder += base["large"].credit() / seeds
 
 				r := largeLoad(seed, gang)
 				r.play(100 * time.Second)
 				got := r.outcomes()
 				GinkgoWriter.Printf("seed %d, the cell: large %v; small %v; %d stops\n", seed, got["large"], got["small"], r.stops)
-				large += got["large"].worth() / seeds
-				small += got["small"].worth() / seeds
-				Expect(r.thrown).To(BeZero(), "only tasks that save their work yield")
+				large += got["large"].credit() / seeds
+				small += got["small"].credit() / seeds
+				Expect(r.discardedWork).To(BeZero(), "only tasks with checkpoints yield")
 			}
 			GinkgoWriter.Printf("large: %.3f, first come first fit %.3f, strict priority %.3f; small: %.3f\n", large, greedy, inOrder, small)
 			Expect(large).To(BeNumerically(">=", 0.94))
--- a/cell/leave_test.go
+++ b/cell/leave_test.go
@@ -12,10 +12,10 @@
 	"dewpass.org/flow"
 )
 
-// A run that ends within the last moments of its worker may be listed in an answer that never
-// comes, and its task would run again.
-var _ = Describe("a gang of which a worker leaves before it is done", func() {
-	It("is stopped in time for that to be known", func() {
+// A run that ends in the last moments of its worker may be listed in an answer that never arrives,
+// and its task would run again.
+var _ = Describe("a gang with a worker that leaves before the gang is done", func() {
+	It("is stopped in time for the stop to be listed", func() {
 		r := newRig(2)
 		r.add("j", flow.Step{Count: 2, Demand: demand(3000), Gang: true, EstimateMS: 1000})
 		gang := r.startAll()
@@ -36,26 +36,26 @@
 	})
 })
 
-// moves plays the workers of one lasting step: stops take stopFor, starts are at work after
-// warmUp, and workers that leave end.
-type moves struct {
+// moveSim simulates the workers of one lasting step: stops take stopFor, starts are at work after
+// warmUp, and leaving workers end.
+type moveSim struct {
 	*rig
 	begun   map[string]time.Time
 	stopAt  map[Stop]time.Time
 	stopFor time.Duration
 	warmUp  time.Duration
-	// most is how many tasks were away at once at the most.
-	most int
+	// maxAway is the largest number of tasks that were away at the same time.
+	maxAway int
 }
 
-func newMoves(r *rig) *moves {
-	return &moves{rig: r, begun: make(map[string]time.Time), stopAt: make(map[Stop]time.Time), stopFor: 200 * time.Millisecond, warmUp: 500 * time.Millisecond}
+func newMoveSim(r *rig) *moveSim {
+	return &moveSim{rig: r, begun: make(map[string]time.Time), stopAt: make(map[Stop]time.Time), stopFor: 200 * time.Millisecond, warmUp: 500 * time.Millisecond}
 }
 
 func runName(task flow.TaskID, n int) string { return fmt.Sprint(task, n) }
 
-// step decides and carries out what a tenth of a second brings.
-func (m *moves) step() {
+// step decides, and plays the next 100 ms.
+func (m *moveSim) step() {
 	a := m.place()
 	for _, s := range a.Starts {
 		m.Started(s.Worker, s.Task, s.Run, Accepted, m.now)
@@ -83,18 +83,18 @@
 		}
 	}
 	if s := m.stage(flow.StepID{Job: "j"}); s != nil {
-		m.most = max(m.most, s.tasksAway())
+		m.maxAway = max(m.maxAway, s.tasksAway())
 	}
 }
 
-func (m *moves) play(d time.Duration) {
+func (m *moveSim) play(d time.Duration) {
 	for until := m.now.Add(d); m.now.Before(until); {
 		m.step()
 	}
 }
 
-// leave has the first n workers that run something leave in d.
-func (m *moves) leave(n int, d time.Duration) {
+// leave makes the first n workers with runs leave in d.
+func (m *moveSim) leave(n int, d time.Duration) {
 	for _, w := range m.sortedWorkers {
 		if n > 0 && len(w.runList) > 0 {
 			m.heard(w.ID, func(w *Worker) { w.Draining, w.Remaining = true, d })
@@ -103,8 +103,8 @@
 	}
 }
 
-// left counts the runs that are still on workers that leave.
-func (m *moves) left() int {
+// runsOnLeavingWorkers counts the runs that are still on leaving workers.
+func (m *moveSim) runsOnLeavingWorkers() int {
 	n := 0
 	for _, w := range m.sortedWorkers {
 		if w.Draining {
@@ -114,64 +114,65 @@
 	return n
 }
 
-// Tasks that last were left on workers that leave, and away until the leases there were over.
-var _ = Describe("a step of a hundred tasks that last, one a worker", func() {
+// Guards against leaving lasting tasks on workers that leave: they were away until the leases there
+// had expired.
+var _ = Describe("a step of a hundred lasting tasks, one per worker", func() {
 	const (
 		notice  = 8 * time.Second
 		workers = 125
 		leave   = 12
-		// last is how long before the end of its worker a task has to be stopped for that to
-		// be listed in time.
+		// last is how long before the end of its worker a task has to be stopped for the stop to be
+		// listed in time.
 		last = 900 * time.Millisecond
 	)
-	start := func(step flow.Step) *moves {
-		m := newMoves(newRig(workers))
+	start := func(step flow.Step) *moveSim {
+		m := newMoveSim(newRig(workers))
 		step.Demand, step.Lasting, step.PerWorker = demand(1000), true, 1
 		m.add("j", step)
 		m.play(time.Second)
-		m.most = 0
+		m.maxAway = 0
 		return m
 	}
 
-	It("is at work elsewhere before a tenth of the workers ends", func() {
+	It("is at work elsewhere before a tenth of its workers end", func() {
 		m := start(flow.Step{Count: 100})
 		m.leave(leave, notice)
 		m.play(notice)
-		Expect(m.left()).To(BeZero())
+		Expect(m.runsOnLeavingWorkers()).To(BeZero())
 		Expect(m.stage(flow.StepID{Job: "j"}).tasksAway()).To(BeZero())
-		Expect(m.most).To(BeNumerically("<=", 4), "and only so many are away at once as it takes")
+		Expect(m.maxAway).To(BeNumerically("<=", 4), "no more tasks are away at once than necessary")
 	})
 
-	It("is moved although one of its tasks cannot run anywhere", func() {
+	It("is moved although one of its tasks never gets to work", func() {
 		m := start(flow.Step{Count: workers - leave})
-		// One that is put on probation by every worker counts as away throughout.
+		// A task that every worker fails to get to work counts as away throughout.
 		s := m.stage(flow.StepID{Job: "j"})
 		m.leave(leave-1, notice)
 		stuck := s.tasks[workers-leave-1].runs[0]
 		stuck.percent, stuck.lastProgress = 0, m.now
 		m.begun[runName(stuck.task(), stuck.number)] = m.now.Add(time.Hour)
 		m.play(notice)
-		Expect(m.left()).To(BeZero())
+		Expect(m.runsOnLeavingWorkers()).To(BeZero())
 	})
 
-	It("is moved within what it says it may miss, and the rest just before the end", func() {
+	It("is moved within its limit of missing tasks, and the rest just before the workers end", func() {
 		m := start(flow.Step{Count: 100, MayMiss: 1})
 		m.leave(2*leave, notice)
 		m.play(notice - last - 100*time.Millisecond)
-		Expect(m.most).To(Equal(1))
-		Expect(m.left()).To(BeNumerically(">", 0))
+		Expect(m.maxAway).To(Equal(1))
+		Expect(m.runsOnLeavingWorkers()).To(BeNumerically(">", 0))
 		m.play(last)
-		Expect(m.left()).To(BeZero())
+		Expect(m.runsOnLeavingWorkers()).To(BeZero())
 	})
 
-	It("has no more stopped than find a place", func() {
+	It("has no more tasks stopped than find room elsewhere", func() {
 		m := start(flow.Step{Count: workers - 3})
 		m.leave(leave, notice)
 		m.play(notice - 100*time.Millisecond)
-		Expect(m.left()).To(Equal(leave-3), "three places are free")
+		Expect(m.runsOnLeavingWorkers()).To(Equal(leave-3), "three workers are free")
 	})
 
-	It("has what was at work come back before what never was", func() {
+	It("restarts tasks that were at work before tasks that never were", func() {
 		m := start(flow.Step{Count: workers + 10})
 		s := m.stage(flow.StepID{Job: "j"})
 		var failed *run
@@ -186,6 +187,6 @@
 		before := &s.tasks[len(s.tasks)-1]
 		before.lastRun = 1
 		m.play(time.Second)
-		Expect(before.state).To(Equal(taskActive), "the only one that was at work")
+		Expect(before.state).To(Equal(taskActive), "the only waiting task that was at work before")
 	})
 })
--- a/cell/life_test.go
+++ b/cell/life_test.go
@@ -11,9 +11,9 @@
 	"dewpass.org/flow"
 )
 
-var _ = Describe("a worker that starts again under its id", func() {
+var _ = Describe("a worker that restarts under the same id", func() {
 	const before, after = 1000, 2000
-	// lived has a worker that says when it started, in its entry and its lists.
+	// lived returns a rig with a worker that gives its Born value in its entry and its lists.
 	lived := func() *rig {
 		r := newRig(0)
 		r.heard("w0", func(w *Worker) { w.Born = before })
@@ -35,7 +35,7 @@
 	}
 	one := flow.Step{Count: 1, Demand: demand(1000)}
 
-	It("has its ends counted from 1 again, whichever clock it starts by", func() {
+	It("has its ends numbered from 1 again, even if its clock was set back", func() {
 		for _, next := range []int64{after, before - 500} {
 			r := lived()
 			r.add("a", flow.Step{Count: 2, Demand: demand(1000)})
@@ -56,7 +56,7 @@
 		}
 	})
 
-	It("is not told to forget ends by a save that was under way", func() {
+	It("is not told to discard ends by a save that was in progress", func() {
 		r := lived()
 		r.add("a", one)
 		s := r.startAll()[0]
@@ -65,10 +65,10 @@
 		reborn(r, Lists{})
 		r.Saved(saves, true)
 		Expect(r.Observed("w0")).To(BeZero())
-		Expect(shown(r, "a")).To(Equal(flow.Succeeded), "what was taken in stays done")
+		Expect(shown(r, "a")).To(Equal(flow.Succeeded), "an end that was listed stays")
 	})
 
-	It("is not told to forget ends while it may have been given a run that it has not listed", func() {
+	It("is not told to discard ends while it may have a run that it has not listed", func() {
 		r := lived()
 		r.add("a", one)
 		s := r.startAll()[0]
@@ -80,7 +80,7 @@
 		Expect(r.Observed("w0")).To(BeZero())
 	})
 
-	It("has lost what ran before, which is held against it", func() {
+	It("has lost its earlier runs, which are blamed for the loss", func() {
 		r := lived()
 		r.add("a", one)
 		s := r.startAll()[0]
@@ -98,7 +98,7 @@
 		Expect(again[0].Run).To(BeNumerically(">", s.Run))
 	})
 
-	It("keeps what it was given before anybody knew of it", func() {
+	It("keeps runs that it was given before the restart was known", func() {
 		r := lived()
 		r.add("a", flow.Step{Count: 3, Demand: demand(1000)})
 		starts := r.startAll()
@@ -108,13 +108,13 @@
 		Expect(lost).To(HaveLen(1))
 		Expect(lost[0].Task).To(Equal(starts[2].Task))
 		hear(r, after)
-		Expect(r.startAll()).To(HaveLen(1), "the one that is lost alone starts again")
+		Expect(r.startAll()).To(HaveLen(1), "only the lost run starts again")
 		r.Listed("w0", Lists{Born: after, Running: []Running{row(starts[0])}, Finished: []Finished{end(1, starts[1], flow.EndDone)}}, r.now, r.now)
 		r.Listed("w0", Lists{Born: after, Finished: []Finished{end(2, starts[0], flow.EndDone)}, Cut: true}, r.now, r.now)
 		Expect(r.startAll()).To(BeEmpty())
 	})
 
-	It("ends nothing by lists that come under no newer fence", func() {
+	It("ends no run by lists that did not come under a newer fencing token", func() {
 		r := lived()
 		r.add("a", one)
 		s := r.startAll()[0]
@@ -125,20 +125,20 @@
 		reborn(r, Lists{})
 		r.EndsListed("w0", Lists{Born: before, Finished: []Finished{end(40, s, flow.EndFailed)}}, r.now)
 		r.save()
-		Expect(r.Observed("w0")).To(BeZero(), "an answer of before that is read late")
+		Expect(r.Observed("w0")).To(BeZero(), "a late answer of the earlier incarnation")
 	})
 
-	It("is given nothing before its entry says what room it has", func() {
+	It("is given nothing before its own entry tells its room", func() {
 		r := lived()
 		reborn(r, Lists{})
 		r.add("a", flow.Step{Count: 2, Demand: demand(1000)})
 		Expect(r.startAll()).To(BeEmpty())
 		Expect(r.Load().Attached).To(BeZero())
 		r.heard("w0", func(w *Worker) { w.Born, w.Room = after, vec(1000, 8000) })
-		Expect(r.startAll()).To(HaveLen(1), "its room is smaller than that of before")
+		Expect(r.startAll()).To(HaveLen(1), "its room has become smaller")
 	})
 
-	It("does not leave because the life before did", func() {
+	It("is not leaving because the earlier incarnation was", func() {
 		r := lived()
 		r.heard("w0", func(w *Worker) { w.Born, w.Draining, w.Remaining = before, true, time.Second })
 		reborn(r, Lists{})
@@ -148,7 +148,7 @@
 		Expect(r.startAll()).To(HaveLen(1))
 	})
 
-	It("is asked about anew, and no ticket of before is used", func() {
+	It("is asked about again, and no earlier ticket is used", func() {
 		r := lived()
 		r.Configure([]Queue{{Name: "q", Pool: "p", MaxAttempts: 2, Stretch: 1.5, Advice: &Advice{Decide: 10 * time.Millisecond, Valid: 10 * time.Second}}})
 		r.add("a", one)
@@ -168,14 +168,14 @@
 		reborn2()
 		r.Advised(a.Asks[0], []Ticket{{Worker: "w0", Text: "older"}}, 10*time.Second, r.now)
 		a = r.place()
-		Expect(a.Starts).To(BeEmpty(), "an answer that was asked for before")
+		Expect(a.Starts).To(BeEmpty(), "the answer to a question about the earlier incarnation")
 		r.Advised(a.Asks[0], []Ticket{{Worker: "w0", Text: "new"}}, 10*time.Second, r.now)
 		starts := r.place().Starts
 		Expect(starts).To(HaveLen(1))
 		Expect(starts[0].Ticket).To(Equal("new"))
 	})
 
-	It("is not asked about again where the policy does not let it run what the life before might", func() {
+	It("is not asked about a third time if the policy permitted the earlier incarnation but not this one", func() {
 		r := lived()
 		r.Configure([]Queue{{Name: "q", Pool: "p", MaxAttempts: 2, Stretch: 1.5, Advice: &Advice{Decide: 10 * time.Millisecond, Valid: time.Second}}})
 		r.add("a", one)
@@ -187,7 +187,7 @@
 		Expect(r.place().Asks).To(BeEmpty())
 	})
 
-	It("was lost while the owner changed if the former owner knew another life", func() {
+	It("counts as lost during a change of owner if the former owner knew another incarnation", func() {
 		spec := &flow.Spec{ID: "j", Queue: "q", Steps: []flow.Step{{Count: 1, Demand: demand(1000)}}}
 		for _, known := range []int64{before, after} {
 			r := newRig(0)
@@ -200,7 +200,7 @@
 		}
 	})
 
-	It("is one and the same where workers do not say when they started", func() {
+	It("counts as the same incarnation if workers do not give a Born value", func() {
 		r := newRig(1)
 		r.add("a", one)
 		s := r.startAll()[0]
--- a/cell/link_test.go
+++ b/cell/link_test.go
@@ -14,14 +14,14 @@
 	"dewpass.org/sched"
 )
 
-// What happened: an owner whose link carries 2 Mbit/s decided all 130 starts of a wide step of
-// batch at once. They waited at its link for 0.8 s, each was taken for lost after 0.1 to 0.3 s,
-// and the calls that somebody waits for queued behind them: of those, 60 of 128 ended as
-// failed and 58 late on a day without any fault.
-
-// narrow is a cell with more room than work, whose owner sends so many bytes between two
-// decisions that are step apart. It returns when the starts of each queue were decided.
-func narrow(bytes int, step time.Duration, shared bool) map[string][]time.Duration {
+// Guards against overloading a narrow link. An owner whose link carries 2 Mbit/s decided all 130
+// starts of a wide batch step at once. They queued at its link for 0.8 s, each was taken for lost
+// after 0.1 to 0.3 s, and interactive calls queued behind them: of those, 60 of 128 failed and 58
+// were late on a day without any fault.
+
+// startTimes plays a cell with more room than work, whose owner can send so many bytes between two
+// decisions that are step apart. It returns when the starts of each job were decided.
+func startTimes(bytes int, step time.Duration, shared bool) map[string][]time.Duration {
 	c := New(0)
 	c.Configure([]Queue{{Name: "calls", Pool: "p", Priority: 0}, {Name: "batch", Pool: "p", Priority: 2}})
 	now := time.Unix(1000, 0)
@@ -52,33 +52,33 @@
 	return decided
 }
 
-var _ = Describe("starts on a link that carries little", func() {
+var _ = Describe("starts on a narrow link", func() {
 	const (
-		// A link of 2 Mbit/s of which starts may have 8 KB each 50 ms.
+		// A link of 2 Mbit/s on which starts may take 8 KB every 50 ms.
 		each  = 8 << 10
 		every = 50 * time.Millisecond
 	)
 
-	It("are decided as they can be sent, the most urgent first", func() {
-		got := narrow(each, every, false)
+	It("are decided only as fast as they can be sent, the most urgent first", func() {
+		got := startTimes(each, every, false)
 		Expect(got["call"]).To(HaveLen(8))
-		Expect(got["call"]).To(HaveEach(BeNumerically("<=", 21*every)), "a call does not queue behind batch")
+		Expect(got["call"]).To(HaveEach(BeNumerically("<=", 21*every)), "a call does not queue behind batch jobs")
 		Expect(got["batch"]).To(HaveLen(130))
 		Expect(got["batch"][9]).To(BeNumerically(">", got["batch"][0]), "not all at once")
 	})
 
-	It("are all decided at once where nothing limits them, which is the baseline", func() {
-		got := narrow(1<<30, every, false)
+	It("are all decided at once without a limit, as a baseline", func() {
+		got := startTimes(1<<30, every, false)
 		Expect(got["batch"]).To(HaveLen(130))
 		Expect(got["batch"]).To(HaveEach(BeZero()))
 	})
 
-	It("are more where they share their text", func() {
-		alone, shared := narrow(each, every, false), narrow(each, every, true)
+	It("are decided sooner if they share their text", func() {
+		alone, shared := startTimes(each, every, false), startTimes(each, every, true)
 		Expect(shared["batch"][129]).To(BeNumerically("<", alone["batch"][129]/3))
 	})
 
-	It("say that some were held back, and only then", func() {
+	It("are reported as limited only if some were left out", func() {
 		c := New(0)
 		c.Configure([]Queue{{Name: "q", Pool: "p"}})
 		now := time.Unix(1000, 0)
@@ -94,7 +94,7 @@
 	})
 })
 
-var _ = Describe("a look at a worker", func() {
+var _ = Describe("a poll of a worker", func() {
 	now := time.Unix(1000, 0)
 	look := func(steps ...flow.Step) time.Duration {
 		c := New(0)
@@ -108,28 +108,28 @@
 	}
 	long := flow.Step{Count: 1, EstimateMS: 60_000}
 
-	It("comes seldom where nothing has to be watched", func() {
+	It("is rare where nothing has to be watched", func() {
 		Expect(look()).To(Equal(maxPollInterval))
 		Expect(look(long)).To(Equal(maxPollInterval))
 	})
 
-	It("comes often where a short run may stand still", func() {
+	It("is frequent where a short run may stall", func() {
 		Expect(look(long, flow.Step{Count: 1, EstimateMS: 1000})).To(Equal(minPollInterval))
 	})
 
-	It("comes often where runs that fill are beside one that serves", func() {
+	It("is frequent where filler runs are beside a serving one", func() {
 		serves := flow.Step{Count: 1, Lasting: true, TargetMS: 100}
 		Expect(look(serves)).To(BeNumerically(">", minPollInterval))
 		Expect(look(serves, flow.Step{Count: 1, Fills: true, EstimateMS: 60_000})).To(Equal(minPollInterval))
 	})
 
-	It("comes in between where runs save their work", func() {
+	It("is less frequent where runs save checkpoints", func() {
 		saves := long
 		saves.Checkpoints = true
 		Expect(look(saves)).To(Equal(checkpointPollInterval))
 	})
 
-	It("of a worker that is not known comes often", func() {
+	It("is frequent if the worker is not known", func() {
 		Expect(New(0).LookWithin("w")).To(Equal(minPollInterval))
 	})
 })
--- a/cell/over_test.go
+++ b/cell/over_test.go
@@ -11,12 +11,12 @@
 	"dewpass.org/flow"
 )
 
-var _ = Describe("a job that is over", func() {
-	It("is remembered by its state alone once it was retired, and then forgotten", func() {
+var _ = Describe("a job that has ended", func() {
+	It("keeps only its state once it is retired, and is then forgotten", func() {
 		r := newRig(1)
 		r.add("j", flow.Step{Count: 1, Demand: demand(1000)})
 		r.end(r.startAll()[0], flow.EndDone)
-		Expect(r.Retire(0, r.now.Add(time.Second))).To(BeEmpty(), "not before its end is kept")
+		Expect(r.Retire(0, r.now.Add(time.Second))).To(BeEmpty(), "not before its end is stored")
 		r.save()
 		Expect(r.Retire(0, r.now.Add(time.Second))).To(BeEmpty(), "nor before it is archived")
 		Expect(r.Ended()).To(Equal([]Over{{ID: "j", State: flow.Succeeded}}))
@@ -30,12 +30,12 @@
 		r.add("j", flow.Step{Count: 1, Demand: demand(1000)})
 		Expect(r.startAll()).To(BeEmpty(), "it does not run again")
 		retired := r.now.Add(time.Second)
-		Expect(r.Expire(time.Minute, retired.Add(time.Minute))).To(BeEmpty(), "it is kept for all of the time")
+		Expect(r.Expire(time.Minute, retired.Add(time.Minute))).To(BeEmpty(), "it is kept for the whole time")
 		Expect(r.Expire(time.Minute, retired.Add(time.Hour))).To(Equal([]Expired{{ID: "j", Age: time.Hour}}))
 		Expect(r.Known("j")).To(BeFalse())
 	})
 
-	It("is over since it was taken in, not since it arrived, if a former owner ended it", func() {
+	It("counts as ended since it was restored, not since it arrived, if a former owner ended it", func() {
 		done := flow.Bits{1}
 		for _, rec := range []*flow.Record{
 			{State: flow.Succeeded},
--- a/cell/owner_test.go
+++ b/cell/owner_test.go
@@ -15,7 +15,7 @@
 	}
 	spec := &flow.Spec{ID: "j", Queue: "q", Steps: []flow.Step{{Count: 1, Demand: demand(1000)}}}
 
-	It("takes on what runs, and starts nothing twice", func() {
+	It("adopts the runs there are, and starts nothing twice", func() {
 		r := newRig(0)
 		r.Restore(spec, record("h"), r.now, r.now)
 		r.heard("w0", func(*Worker) {})
@@ -28,7 +28,7 @@
 		Expect(s).To(Equal(flow.Succeeded))
 	})
 
-	It("waits with a step that was open for a worker that may run it", func() {
+	It("holds back a step that was open while a worker may already run it", func() {
 		r := newRig(1)
 		r.heard("w9", func(*Worker) {})
 		r.Restore(spec, record("h"), r.now, r.now)
@@ -37,25 +37,25 @@
 		Expect(r.startAll()).To(HaveLen(1))
 	})
 
-	It("waits for workers of the job's own hall, and for no others", func() {
+	It("waits for workers in the job's own hall, and for no others", func() {
 		for hall, held := range map[string]bool{"h": true, "other": false, "": true} {
 			r := newRig(1)
 			r.heard("w9", func(w *Worker) { w.Hall = hall })
 			own := *spec
 			own.Hall = "h"
 			r.Restore(&own, record(), r.now, r.now)
-			Expect(r.startAll()).To(HaveLen(map[bool]int{true: 0, false: 1}[held]), "an unknown worker in hall %q", hall)
+			Expect(r.startAll()).To(HaveLen(map[bool]int{true: 0, false: 1}[held]), "an unsettled worker in hall %q", hall)
 		}
 	})
 
-	It("does not wait with a job that came after it", func() {
+	It("does not hold back a job that arrived after it", func() {
 		r := newRig(1)
 		r.heard("w9", func(*Worker) {})
 		r.add("j", flow.Step{Count: 1, Demand: demand(1000)})
 		Expect(r.startAll()).To(HaveLen(1))
 	})
 
-	It("stops what belongs to no job", func() {
+	It("stops runs of unknown jobs", func() {
 		r := newRig(0)
 		r.heard("w0", func(*Worker) {})
 		r.Attached("w0", Lists{Running: []Running{{Task: flow.TaskID{Job: "gone"}, Run: 5}}}, r.now)
@@ -63,10 +63,10 @@
 	})
 })
 
-var _ = Describe("a worker that runs something of a job that is not known", func() {
-	It("is given nothing until that has ended, as it may take any room", func() {
+var _ = Describe("a worker with a run of an unknown job", func() {
+	It("is given nothing until the run has ended, as its room is unknown", func() {
 		r := newRig(1)
-		// All runs were looked over a moment ago; this one is seen at once.
+		// All runs were checked a moment ago; a new one is checked at once.
 		r.Place(r.now, r.now, 0)
 		stray := Running{Task: flow.TaskID{Job: "gone"}, Run: 1 << 12}
 		r.Attached("w0", Lists{Running: []Running{stray}}, r.now)
--- a/cell/pace_test.go
+++ b/cell/pace_test.go
@@ -11,8 +11,8 @@
 	"dewpass.org/flow"
 )
 
-var _ = Describe("tasks that fill", func() {
-	It("are slowed down while a task that serves beside them is over its target, fast down and slowly up", func() {
+var _ = Describe("filler tasks", func() {
+	It("are slowed down fast while a serving task beside them is over its target, and sped up slowly", func() {
 		r := newRig(1)
 		r.add("serves", flow.Step{Count: 1, Demand: demand(1000), Lasting: true, TargetMS: 100})
 		r.add("fills", flow.Step{Count: 1, Demand: demand(8000), Fills: true, EstimateMS: 60_000})
--- a/cell/replay_test.go
+++ b/cell/replay_test.go
@@ -15,41 +15,40 @@
 	"dewpass.org/sched"
 )
 
-// replay plays recorded arrivals against a cell in virtual time. Workers, the policy
-// and the store are played with the delays that they have in production; what the cell
-// decides is its own.
+// replay runs a cell on recorded arrivals in virtual time. Workers, the policy and the store are
+// simulated with the delays that they have in production; the decisions are those of the real cell.
 type replay struct {
 	*Cell
-	now      time.Time
-	began    time.Time
-	rng      *rand.Rand
-	queues   []Queue
-	events   []replayEvent
-	workers  map[string]*replayWorker
-	arrivals map[string]*replayJob
-	good     map[flow.StepID]map[string]bool
-	// gangs holds the members of each run of a gang, which its number stands for.
+	now       time.Time
+	began     time.Time
+	rng       *rand.Rand
+	queues    []Queue
+	events    []replayEvent
+	workers   map[string]*replayWorker
+	arrivals  map[string]*replayJob
+	permitted map[flow.StepID]map[string]bool
+	// gangs holds the members of each run of a gang. The run number is the Index of the key.
 	gangs map[flow.TaskID][]*replayRun
-	// fit is the share of the workers that the policy lets run a step, by queue.
-	fit map[string]float64
-	// thrown is the work that was stopped and not saved, in processor seconds.
-	thrown float64
-	// callers is how many questions to the policy there may be at once, 0 for replayCallers.
+	// permitShare is the share of the workers that the policy permits for a step, by queue.
+	permitShare map[string]float64
+	// discardedWork is the work that was stopped without a checkpoint, in processor seconds.
+	discardedWork float64
+	// callers is the limit on questions in flight, 0 for replayCallers.
 	callers int
-	// asking is for how long the policy has worked.
-	asking time.Duration
-	// stops and asked count the orders to stop and the questions to the policy.
+	// policyTime is how long the policy has worked.
+	policyTime time.Duration
+	// stops counts the orders to stop, and asked the questions to the policy.
 	stops, asked int
 }
 
-// replayEvent is something that happens at a time.
+// replayEvent is a function to call at a time.
 type replayEvent struct {
 	at    time.Time
 	order int
 	do    func()
 }
 
-// replayWorker is what runs on a worker, with its clock's speed.
+// replayWorker is a simulated worker with its speed and its runs.
 type replayWorker struct {
 	id    string
 	room  sched.Vec
@@ -67,8 +66,7 @@
 	ended  bool
 }
 
-// replayJob is a recorded arrival: a job, how long each of its tasks takes in truth, and
-// what became of it.
+// replayJob is a recorded arrival: a job, the true duration of each of its tasks, and its result.
 type replayJob struct {
 	spec   *flow.Spec
 	queue  *Queue
@@ -81,18 +79,18 @@
 }
 
 const (
-	// replayTick is how often the cell decides, as a driver does at the least.
+	// replayTick is the time between decisions, the longest of a driver.
 	replayTick = 10 * time.Millisecond
-	// replayOrder is how long an order takes to a worker, and replayEnd the news of an
-	// end to the owner.
+	// replayOrder is the delay of an order on its way to a worker, and replayEnd that of an end on
+	// its way to the owner.
 	replayOrder = 4 * time.Millisecond
 	replayEnd   = 4 * time.Millisecond
-	// replayStop is how long a stop takes, and replayRestore how long it takes to go on
-	// from what was saved.
+	// replayStop is how long a stop takes, and replayRestore how long it takes to resume from a
+	// checkpoint.
 	replayStop    = 200 * time.Millisecond
 	replayRestore = 600 * time.Millisecond
-	// replayKeep is how long it takes until an accepted job is known to be kept.
-	replayKeep = 12 * time.Millisecond
+	// replayStore is how long it takes until an accepted job is known to be stored.
+	replayStore = 12 * time.Millisecond
 	// replayCallers is how many instances ask the policy.
 	replayCallers = 9
 )
@@ -101,7 +99,7 @@
 	r := &replay{
 		Cell: New(1 << 12), began: time.Unix(1_000_000, 0), rng: rand.New(rand.NewPCG(seed, 1)), queues: queues,
 		workers: make(map[string]*replayWorker), arrivals: make(map[string]*replayJob),
-		good: make(map[flow.StepID]map[string]bool), gangs: make(map[flow.TaskID][]*replayRun), fit: fit,
+		permitted: make(map[flow.StepID]map[string]bool), gangs: make(map[flow.TaskID][]*replayRun), permitShare: fit,
 	}
 	r.now = r.began
 	r.Configure(queues)
@@ -118,7 +116,7 @@
 	r.events = append(r.events, replayEvent{at: r.now.Add(d), order: len(r.events), do: do})
 }
 
-// arrive records that a job arrives, after the beginning.
+// arrive schedules the arrival of a job, at a time after the beginning.
 func (r *replay) arrive(after time.Duration, spec *flow.Spec, work time.Duration) {
 	j := &replayJob{spec: spec, work: work, at: r.began.Add(after)}
 	for i := range r.queues {
@@ -129,11 +127,11 @@
 	r.arrivals[spec.ID] = j
 	r.events = append(r.events, replayEvent{at: j.at, order: len(r.events), do: func() {
 		r.Submit(spec, r.now, r.now)
-		r.after(replayKeep, func() { r.Keep(spec.ID) })
+		r.after(replayStore, func() { r.Keep(spec.ID) })
 	}})
 }
 
-// arrivalsAt draws the times of arrivals, at a rate in jobs a second.
+// arrivalsAt draws random times of arrivals, at a rate in jobs per second.
 func (r *replay) arrivalsAt(length time.Duration, rate func(at time.Duration) float64, arrive func(at time.Duration, n int)) {
 	for at, n := time.Duration(0), 0; at < length; n++ {
 		at += time.Duration(r.rng.ExpFloat64() / rate(at) * float64(time.Second))
@@ -141,8 +139,8 @@
 	}
 }
 
-// job records a job of some equal steps, one after the other, with tasks of about mean and
-// an estimate that may be off by a fifth.
+// job schedules a job of some equal steps in sequence, with tasks of about mean and an estimate
+// that may be off by a fifth.
 func (r *replay) job(at time.Duration, id, queue string, count int, step flow.Step, mean time.Duration) {
 	work := time.Duration(float64(mean) * min(math.Exp(r.rng.NormFloat64()*0.47-0.11), 2.5))
 	step.EstimateMS = int64(float64(work.Milliseconds()) * (0.8 + 0.4*r.rng.Float64()))
@@ -154,17 +152,17 @@
 	r.arrive(at, &flow.Spec{ID: id, Queue: queue, Hall: hall, Steps: steps}, work)
 }
 
-// play runs for a length of time.
+// play runs the simulation for a length of time.
 func (r *replay) play(length time.Duration) {
 	for r.now.Before(r.began.Add(length)) {
-		r.due()
+		r.runDueEvents()
 		r.decide()
 		r.now = r.now.Add(replayTick)
 	}
 }
 
-// due does what falls due now, in order.
-func (r *replay) due() {
+// runDueEvents runs the events that are due now, in order.
+func (r *replay) runDueEvents() {
 	var now []replayEvent
 	r.events = slices.DeleteFunc(r.events, func(e replayEvent) bool {
 		if e.at.After(r.now) {
@@ -193,7 +191,7 @@
 	r.asked += len(a.Asks)
 	for _, ask := range a.Asks {
 		sent := r.now
-		r.asking += ask.Takes()
+		r.policyTime += ask.Takes()
 		r.after(ask.Takes(), func() { r.answer(ask, sent) })
 	}
 	for _, o := range r.Ended() {
@@ -204,20 +202,20 @@
 	}
 }
 
-// answer is the policy's: it lets some workers run a step, always the same.
+// answer plays the policy: it permits some workers for a step, always the same ones.
 func (r *replay) answer(a Ask, sent time.Time) {
-	good := r.good[a.Step]
+	good := r.permitted[a.Step]
 	if good == nil {
 		good = make(map[string]bool)
-		r.good[a.Step] = good
+		r.permitted[a.Step] = good
 	}
 	j := r.arrivals[a.Step.Job]
 	var tickets []Ticket
 	for _, id := range a.Workers {
 		fit, known := good[id]
 		if !known {
-			// One is let run it in any case.
-			fit = r.rng.Float64() < r.fit[j.spec.Queue] || len(good) == 0
+			// The first worker is always permitted.
+			fit = r.rng.Float64() < r.permitShare[j.spec.Queue] || len(good) == 0
 			good[id] = fit
 		}
 		if fit {
@@ -248,7 +246,7 @@
 	r.after(length+replayEnd, func() { r.end(run, flow.EndDone, "") })
 }
 
-// join adds a member to its gang, which ends as one with its slowest member.
+// join adds a member to its gang, all members of which end with the slowest.
 func (r *replay) join(run *replayRun) {
 	key := run.start.Task
 	key.Index = run.start.Run
@@ -267,7 +265,7 @@
 	}
 }
 
-// end lists an end once.
+// end lists the end of a run, once.
 func (r *replay) end(run *replayRun, how flow.End, saved string) {
 	if run.ended {
 		return
@@ -293,7 +291,7 @@
 		saved = "left " + (run.length - worked).String()
 	} else {
 		d := run.step.Demand
-		r.thrown += worked.Seconds() * (float64(d[sched.Milli])/1000 + 8*float64(d[sched.Accel]))
+		r.discardedWork += worked.Seconds() * (float64(d[sched.Milli])/1000 + 8*float64(d[sched.Accel]))
 	}
 	r.end(run, flow.EndStopped, saved)
 }
@@ -306,23 +304,23 @@
 	return d
 }
 
-// outcome sums up the jobs of a queue: the shares in time, late, and for nothing, and
-// how long they took.
+// outcome summarizes the jobs of a queue: the shares of jobs that were in time and late, and the
+// percentiles of their duration.
 type outcome struct {
 	jobs         int
 	inTime, late float64
-	half, most   time.Duration
+	p50, p95     time.Duration
 }
 
 func (o outcome) String() string {
 	return fmt.Sprintf("%d jobs, %.3f in time, %.3f late, p50 %v, p95 %v", o.jobs, o.inTime, o.late,
-		o.half.Round(time.Millisecond), o.most.Round(time.Millisecond))
+		o.p50.Round(time.Millisecond), o.p95.Round(time.Millisecond))
 }
 
-// worth is the credit of an outcome: what is late counts a fifth.
-func (o outcome) worth() float64 { return o.inTime + o.late/5 }
+// credit returns the score of an outcome: a late job counts a fifth.
+func (o outcome) credit() float64 { return o.inTime + o.late/5 }
 
-// outcomes sums up the jobs of each queue.
+// outcomes summarizes the jobs of each queue.
 func (r *replay) outcomes() map[string]outcome {
 	took := make(map[string][]time.Duration)
 	out := make(map[string]outcome)
@@ -348,14 +346,14 @@
 		o.jobs = len(all)
 		o.inTime /= float64(o.jobs)
 		o.late /= float64(o.jobs)
-		o.half, o.most = all[len(all)/2], all[len(all)*95/100]
+		o.p50, o.p95 = all[len(all)/2], all[len(all)*95/100]
 		out[name] = o
 	}
 	return out
 }
 
-// objective is by when the job should be over: its work on a sound worker, stretched, and
-// one question to the policy.
+// objective returns the time within which the job should end: its work on a worker of normal speed,
+// stretched, and one question to the policy.
 func (j *replayJob) objective() time.Duration {
 	d := j.queue.Target + time.Duration(j.queue.Stretch*float64(len(j.spec.Steps))*float64(j.work))
 	if a := j.queue.Advice; a != nil {
@@ -364,9 +362,9 @@
 	return d
 }
 
-// playGreedy plays the same arrivals against a baseline: each task goes to the first
-// worker that has room and may run it, in the order of arrival, or by priority and then
-// arrival. The policy's answers come after one question a job and hold for good.
+// playGreedy plays the same arrivals with a baseline instead of the cell: each task goes to the
+// first worker that has room and is permitted, in order of arrival, or of priority and then
+// arrival. The policy is asked once per job and its answers never expire.
 func (r *replay) playGreedy(length time.Duration, byPriority bool) map[string]outcome {
 	jobs := slices.SortedFunc(maps.Values(r.arrivals), func(a, b *replayJob) int {
 		return cmp.Or(a.at.Compare(b.at), cmp.Compare(a.spec.ID, b.spec.ID))
@@ -380,14 +378,14 @@
 	for _, j := range jobs {
 		left[j] = j.spec.Steps[0].Count
 		for _, id := range ids {
-			if r.rng.Float64() < r.fit[j.spec.Queue] || (id == ids[len(ids)-1] && len(fits[j]) == 0) {
+			if r.rng.Float64() < r.permitShare[j.spec.Queue] || (id == ids[len(ids)-1] && len(fits[j]) == 0) {
 				fits[j] = append(fits[j], id)
 			}
 		}
 	}
 	r.events = nil
 	for ; r.now.Before(r.began.Add(length)); r.now = r.now.Add(replayTick) {
-		r.due()
+		r.runDueEvents()
 		for _, j := range jobs {
 			advised := j.at.Add(j.queue.Advice.Decide + time.Duration(len(ids))*j.queue.Advice.Each)
 			if left[j] > 0 && !r.now.Before(advised) {
--- a/cell/reserve_test.go
+++ b/cell/reserve_test.go
@@ -26,7 +26,7 @@
 	}
 	small := flow.Step{Count: 4, Demand: demand(1000), Checkpoints: true}
 	large := flow.Step{Count: 1, Demand: demand(4000)}
-	// full returns a rig whose one worker runs four small tasks of a queue.
+	// full returns a rig whose only worker is full with tasks of a step of a queue.
 	full := func(queue string, step flow.Step) (*rig, []Start) {
 		r := newRig(1)
 		r.Configure(queues)
@@ -34,13 +34,13 @@
 		return r, r.startAll()
 	}
 
-	It("has tasks of less urgent queues stopped that go on where they were", func() {
+	It("has tasks of less urgent queues stopped that can resume from a checkpoint", func() {
 		r, _ := full("later", small)
 		submit(r, "b", "q", large)
 		Expect(r.place().Stops).To(HaveLen(4))
 	})
 
-	It("has nothing stopped that would begin anew, nor what is as urgent", func() {
+	It("has no tasks stopped that would start over or are as urgent", func() {
 		anew := small
 		anew.Checkpoints = false
 		r, _ := full("later", anew)
@@ -52,7 +52,7 @@
 		Expect(r.place().Stops).To(BeEmpty())
 	})
 
-	It("has nothing stopped where room comes free as soon", func() {
+	It("has nothing stopped where room comes free just as soon", func() {
 		r, starts := full("later", small)
 		for _, s := range starts {
 			r.Listed(s.Worker, Lists{Running: []Running{{Task: s.Task, Run: s.Run, Percent: 50}}, Cut: true}, r.now, r.now)
@@ -62,7 +62,7 @@
 		Expect(r.place().Stops).To(BeEmpty())
 	})
 
-	It("lets a task yield twice and no more", func() {
+	It("makes a task yield at most twice", func() {
 		r, starts := full("later", flow.Step{Count: 1, Demand: demand(4000), Checkpoints: true})
 		for i := range maxYields + 1 {
 			id := string(rune('b' + i))
@@ -82,7 +82,7 @@
 		}
 	})
 
-	It("keeps what comes free from those after it, and from none before it", func() {
+	It("keeps room that comes free from later steps, but not from earlier ones", func() {
 		r, starts := full("q", small)
 		submit(r, "b", "q", large)
 		r.place()
@@ -93,7 +93,7 @@
 		Expect(r.startAll()).To(HaveLen(1))
 	})
 
-	It("asks the policy ahead of the moment at which the room comes free", func() {
+	It("asks the policy before the room comes free", func() {
 		r := newRig(1)
 		advised := queues[1]
 		advised.Advice = &Advice{Decide: 400 * time.Millisecond, Valid: time.Second}
@@ -105,7 +105,7 @@
 		Expect(first).To(HaveLen(1))
 		r.Advised(first[0], []Ticket{{Worker: "w0", Text: "t"}}, time.Second, r.now)
 		r.now = r.now.Add(2 * time.Second)
-		Expect(r.place().Asks).To(BeEmpty(), "its answer would have ended before there is room")
+		Expect(r.place().Asks).To(BeEmpty(), "its tickets would expire before there is room")
 		r.now = r.now.Add(estimate*time.Millisecond - 2*time.Second - 500*time.Millisecond)
 		ahead := r.place().Asks
 		Expect(ahead).To(HaveLen(1))
@@ -123,7 +123,7 @@
 		Expect(r.startAll()).To(HaveLen(1))
 	})
 
-	It("has nothing stopped that takes none of what is short", func() {
+	It("has no tasks stopped that use none of what is short", func() {
 		r := newRig(0)
 		r.Configure(queues)
 		r.heard("w", func(w *Worker) { w.Room[sched.Accel] = 1 })
@@ -134,7 +134,7 @@
 		holder := r.startAll()[0]
 		r.now = r.now.Add(time.Second)
 		submit(r, "b", "later", flow.Step{Count: 1, Demand: demand(100), Checkpoints: true})
-		Expect(r.startAll()).To(HaveLen(1), "with more left to do")
+		Expect(r.startAll()).To(HaveLen(1), "it has more work left than the other")
 		submit(r, "c", "q", flow.Step{Count: 1, Demand: accel})
 		stops := r.place().Stops
 		Expect(stops).To(HaveLen(1))
--- a/cell/room_test.go
+++ b/cell/room_test.go
@@ -21,14 +21,14 @@
 	g.Expect(r.startAll()).To(BeEmpty())
 	r.end(starts[0], flow.EndDone)
 	r.end(starts[1], flow.EndDone)
-	g.Expect(r.startAll()).To(BeEmpty(), "what is left fills it")
+	g.Expect(r.startAll()).To(BeEmpty(), "the remaining runs fill the worker")
 	r.end(starts[2], flow.EndDone)
 	g.Expect(r.startAll()).To(HaveLen(1))
 	r.heard("w0", func(w *Worker) { w.Room = vec(4000, 8000) })
-	g.Expect(r.startAll()).To(HaveLen(2), "room that is back is used")
+	g.Expect(r.startAll()).To(HaveLen(2), "room that has come back is used")
 }
 
-func TestTaskThatFillsIsNotGivenToAWorkerOverItsRoom(t *testing.T) {
+func TestFillerTaskIsNotPlacedOnAnOverfullWorker(t *testing.T) {
 	g := NewWithT(t)
 	r := newRig(1)
 	r.add("j", flow.Step{Count: 4, Demand: demand(1000)})
@@ -38,7 +38,7 @@
 	g.Expect(r.startAll()).To(BeEmpty())
 }
 
-func TestRoomReservedOnAWorkerThatShrinksMovesOn(t *testing.T) {
+func TestReservationMovesAwayFromAWorkerThatShrinks(t *testing.T) {
 	g := NewWithT(t)
 	r := newRig(2)
 	r.add("small", flow.Step{Count: 8, Demand: demand(1000), EstimateMS: 1000})
@@ -56,9 +56,9 @@
 	g.Expect(r.startAll()).To(HaveLen(1))
 }
 
-// A worker that guards its room answers that it has none, and its entry says so only later. It
-// was attached and given the same again at once, some hundred times a second.
-func TestWorkerThatHasNoRoomIsLeftAloneForAWhile(t *testing.T) {
+// Guards against a busy loop with a worker that refuses for want of room before its entry says so:
+// it was attached and given the same run again at once, some hundred times a second.
+func TestWorkerThatRefusesForWantOfRoomIsPaused(t *testing.T) {
 	g := NewWithT(t)
 	r := newRig(1)
 	r.add("j", flow.Step{Count: 1, Demand: demand(1000)})
@@ -71,5 +71,5 @@
 		r.now = r.now.Add(20 * time.Millisecond)
 		r.Attached("w0", Lists{}, r.now)
 	}
-	g.Expect(refused).To(BeNumerically("<=", 5), "two seconds, in which its entry is read at least once")
+	g.Expect(refused).To(BeNumerically("<=", 5), "within two seconds, in which its entry is read at least once")
 }
--- a/cell/seek_test.go
+++ b/cell/seek_test.go
@@ -11,9 +11,9 @@
 	"dewpass.org/flow"
 )
 
-// A task that lasts was away for 11 s: 6.4 s until the leases of its worker were over, and 4.9 s more
-// for the question to the policy.
-func TestTaskThatLastsIsNotAwayForTheQuestionAfterItsLease(t *testing.T) {
+// Guards against asking the policy only after a lease has expired: a lasting task was away for 11
+// s, 6.4 s until the leases of its worker had expired and 4.9 s more for the question.
+func TestPolicyIsAskedAboutALastingTaskBeforeItsLeaseEnds(t *testing.T) {
 	const lease, valid = 6 * time.Second, 2500 * time.Millisecond
 	g := NewWithT(t)
 	r := newRig(2)
@@ -32,14 +32,14 @@
 	over := r.now.Add(lease)
 	r.LeaseEnds(first[0].Worker, over)
 	r.now = over.Add(-leaseEndLead - 100*time.Millisecond)
-	g.Expect(r.place().Asks).To(BeEmpty(), "the worker may come back")
+	g.Expect(r.place().Asks).To(BeEmpty(), "the worker may still come back")
 	r.now = over.Add(-leaseEndLead)
 	asks := r.place().Asks
-	g.Expect(asks).To(HaveLen(1), "calls are not asked about ahead")
+	g.Expect(asks).To(HaveLen(1), "only lasting tasks are asked about ahead")
 	g.Expect(asks[0].Step.Job).To(Equal("j"))
 	r.now = r.now.Add(time.Second)
 	r.Advised(asks[0], both, valid, r.now)
-	g.Expect(r.place().Asks).To(BeEmpty(), "one place is enough")
+	g.Expect(r.place().Asks).To(BeEmpty(), "one permitted worker with room is enough")
 	r.now = over.Add(10 * time.Millisecond)
 	r.Lapsed(first[0].Worker, LossSilent, r.now)
 	starts := r.place().Starts
--- a/cell/trial_test.go
+++ b/cell/trial_test.go
@@ -16,19 +16,19 @@
 	g := NewWithT(t)
 	r := newRig(2)
 	r.add("j", flow.Step{Count: 1, Demand: demand(1000)})
-	r.lose(r.startAll()[0], 10*time.Millisecond)
+	r.loseWorkerOf(r.startAll()[0], 10*time.Millisecond)
 	r.save()
 	trial := r.startAll()
 	g.Expect(trial).To(HaveLen(1))
 	r.add("k", flow.Step{Count: 1, Demand: demand(1000)})
-	g.Expect(r.startAll()).To(BeEmpty(), "the only worker that is left is watched")
+	g.Expect(r.startAll()).To(BeEmpty(), "the only remaining worker is under trial")
 	r.now = r.now.Add(minTrialWatch + runCheckInterval)
 	g.Expect(r.startAll()).To(HaveLen(1))
 }
 
-// With a pause between any two trials, of 0.25 s, the tasks that had run beside those of five
-// crashes were tried one after another for 27 s, with all workers free.
-func TestManySuspectsAreTriedSideBySide(t *testing.T) {
+// Guards against trying suspects one at a time: with a pause of 0.25 s between trials, the
+// neighbors of five crashes were tried one after another for 27 s, with all workers free.
+func TestManySuspectsAreTriedInParallel(t *testing.T) {
 	g := NewWithT(t)
 	s := newCrashSim(1, 12, 4)
 	s.length = 400 * time.Millisecond
@@ -39,7 +39,7 @@
 	}
 	s.run(100 * time.Millisecond)
 	for i := range 12 {
-		s.crash(s.places[4*i])
+		s.crash(s.hosts[4*i])
 		s.run(200 * time.Millisecond)
 	}
 	begun := s.now
@@ -47,9 +47,10 @@
 	g.Expect(s.now.Sub(begun)).To(BeNumerically("<", 5*time.Second))
 }
 
-// Two trials, one of a task that ends its worker at once and one of a task that does so a moment
-// later, ended theirs at the same moment, and again a second later, in step: each hid the other.
-func TestTrialsThatEndTheirWorkersTogetherAreToldApart(t *testing.T) {
+// Guards against trials that hide each other: two trials, of a task that crashes its worker at once
+// and of one that does so a moment later, crashed their workers at the same moment, and again a
+// second later.
+func TestTrialsThatCrashWorkersTogetherAreToldApart(t *testing.T) {
 	g := NewWithT(t)
 	s := newCrashSim(3, 4, 2)
 	s.crashAfter = func(t flow.TaskID) time.Duration {
@@ -59,14 +60,14 @@
 		s.add(id, flow.Step{Count: 1, Demand: demand(1000)})
 	}
 	g.Expect(s.run(20*time.Second, "a", "b")).To(BeTrue())
-	_, most := s.all()
+	_, most := s.crashTotals()
 	g.Expect(most).To(BeNumerically("<=", 3))
 }
 
-func TestStepOfTasksThatCrashTakesFewWorkers(t *testing.T) {
+func TestStepOfCrashingTasksCostsFewWorkers(t *testing.T) {
 	g := NewWithT(t)
 	s := newCrashSim(1, 10, 4)
-	s.crashAfter = crashing(10*time.Millisecond, "bad")
+	s.crashAfter = crashJobsAfter(10*time.Millisecond, "bad")
 	s.add("bad", flow.Step{Count: 100, Demand: demand(4000)})
 	s.step()
 	s.step()
@@ -74,13 +75,13 @@
 	g.Expect(first).To(Equal(40))
 	g.Expect(s.run(20*time.Second, "bad")).To(BeTrue())
 	g.Expect(state(s, "bad")).To(Equal(flow.Failed))
-	sum, _ := s.all()
-	g.Expect(sum).To(BeNumerically("<=", first+2), "all workers at once, as nothing was known, then one at a time")
+	sum, _ := s.crashTotals()
+	g.Expect(sum).To(BeNumerically("<=", first+2), "one on each worker at first, then one at a time")
 }
 
-// A task that had only run beside a loss waited for the store to keep that, which it never did:
-// nothing is written for such a loss.
-func TestTaskBesideALossIsTriedWithItsStep(t *testing.T) {
+// Guards against waiting for ever: a task with a single loss without blame waited for the store to
+// have that loss, which is never written.
+func TestTaskWithAnUnblamedLossIsTriedWithItsStep(t *testing.T) {
 	g := NewWithT(t)
 	r := newRig(3)
 	r.add("j", flow.Step{Count: 1, Demand: demand(1000)})
@@ -100,15 +101,15 @@
 	g.Expect(begun).To(Equal(1))
 }
 
-func TestRunThatGoesOnWellClearsItsTask(t *testing.T) {
+func TestLongRunClearsItsTask(t *testing.T) {
 	g := NewWithT(t)
 	s := newCrashSim(1, 2, 2)
-	s.length = lasts
+	s.length = endless
 	s.add("j", flow.Step{Count: 1, Demand: demand(1000), Lasting: true})
 	for range 5 {
 		s.run(crashClearTime + 2*time.Second)
 		task := flow.TaskID{Job: "j"}
-		for _, p := range s.places {
+		for _, p := range s.hosts {
 			if len(p.runs) > 0 && p.runs[0].Task == task {
 				s.crash(p)
 			}
--- a/cell/unkept_test.go
+++ b/cell/unkept_test.go
@@ -11,10 +11,10 @@
 	"dewpass.org/flow"
 )
 
-// What happened: the store gave no answers for 5.6 s. Tasks ran on, and their ends came in,
-// but whoever asked for a job was told "running" until the store was back: of the jobs that
-// ended in that time, all were shown up to 5 s late, and callers gave up on some.
-var _ = Describe("the end of a job that the store does not take", func() {
+// Guards against hiding ends while the store is away. The store did not answer for 5.6 s. Tasks ran
+// on and their ends were listed, but clients were told "running" until the store was back: the jobs
+// that ended in that time were shown up to 5 s late, and some clients gave up.
+var _ = Describe("the end of a job that the store does not write", func() {
 	// ended returns a rig with a job whose task has just ended.
 	ended := func(how flow.End) *rig {
 		r := newRig(1)
@@ -27,18 +27,18 @@
 		return s
 	}
 
-	It("is told to others when the store takes longer than usual, and shown once one knows", func() {
+	It("is reported to other instances when the store takes longer than usual, and shown once one knows", func() {
 		r := ended(flow.EndDone)
 		Expect(r.Unkept(10, r.now)).To(BeEmpty(), "the store will have it in a moment")
 		late := r.now.Add(minUnstoredAge)
 		Expect(r.Unkept(10, late)).To(Equal([]string{"j"}))
 		Expect(r.Unkept(0, late)).To(BeEmpty())
-		Expect(state(r)).To(Equal(flow.Running), "nobody else knows")
+		Expect(state(r)).To(Equal(flow.Running), "no other instance knows")
 		r.Shared([]string{"j", "unknown"})
 		Expect(state(r)).To(Equal(flow.Succeeded))
 	})
 
-	It("is told for a while, and on until somebody knows", func() {
+	It("is reported for a while, and longer until an instance knows", func() {
 		r := ended(flow.EndDone)
 		late := r.now.Add(maxUnstoredAge)
 		Expect(r.Unkept(10, late)).To(HaveLen(1))
@@ -47,14 +47,14 @@
 		Expect(state(r)).To(Equal(flow.Succeeded))
 	})
 
-	It("is told no more once the store has it", func() {
+	It("is not reported once the store has it", func() {
 		r := ended(flow.EndDone)
 		r.save()
 		Expect(r.Unkept(10, r.now.Add(minUnstoredAge))).To(BeEmpty())
 		Expect(r.unstoredSuccesses).To(BeEmpty())
 	})
 
-	It("is not shown where it is a decision: a cancel", func() {
+	It("is not shown early if the job was cancelled", func() {
 		r := newRig(1)
 		r.add("j", flow.Step{Count: 1, Demand: demand(1000)})
 		r.Cancel("j", r.now)
--- a/cell/unknown_test.go
+++ b/cell/unknown_test.go
@@ -11,21 +11,21 @@
 	"dewpass.org/flow"
 )
 
-func TestWhatHadEndedBeforeItsJobWasKnownIsNotStartedAgain(t *testing.T) {
+func TestTaskThatEndedBeforeItsJobWasKnownIsNotRestarted(t *testing.T) {
 	g := NewWithT(t)
 	r := newRig(0)
 	r.heard("w0", func(*Worker) {})
 	task := flow.TaskID{Job: "j"}
-	// A former owner, which no longer is one, was told of a job and started it at once.
+	// A former owner that had already been replaced accepted a job and started it at once.
 	r.Attached("w0", Lists{Finished: []Finished{{Number: 1, Task: task, Run: 8193, How: flow.EndDone}}}, r.now)
 	r.save()
-	g.Expect(r.Observed("w0")).To(BeZero(), "the next owner has to hear of it as well")
+	g.Expect(r.Observed("w0")).To(BeZero(), "the next owner has to learn of it as well")
 	r.add("j", flow.Step{Count: 1, Demand: demand(1000)})
 	g.Expect(r.startAll()).To(BeEmpty())
-	g.Expect(r.Observed("w0")).To(Equal(1), "the worker may forget it")
+	g.Expect(r.Observed("w0")).To(Equal(1), "the worker may discard it")
 }
 
-func TestWhatRanBeforeItsJobWasKnownIsNotStartedBesideItself(t *testing.T) {
+func TestTaskRunningBeforeItsJobWasKnownIsNotStartedTwice(t *testing.T) {
 	g := NewWithT(t)
 	r := newRig(0)
 	r.heard("w0", func(*Worker) {})
@@ -43,13 +43,13 @@
 	g.Expect(state).To(Equal(flow.Succeeded))
 }
 
-func TestEndOfAJobThatIsNotKnownYetIsNotForgottenBeforeItsRecordIsKept(t *testing.T) {
+func TestEndOfAnUnknownJobIsKeptUntilItsRecordIsStored(t *testing.T) {
 	for _, how := range []flow.End{flow.EndDone, flow.EndFailed} {
-		t.Run(string(how), func(t *testing.T) { notForgottenEarly(t, how) })
+		t.Run(string(how), func(t *testing.T) { checkEndKeptUntilStored(t, how) })
 	}
 }
 
-func notForgottenEarly(t *testing.T, how flow.End) {
+func checkEndKeptUntilStored(t *testing.T, how flow.End) {
 	g := NewWithT(t)
 	r := newRig(0)
 	r.heard("w0", func(*Worker) {})
@@ -61,18 +61,18 @@
 		{Number: 3, Task: other, Run: 8194, How: flow.EndStopped},
 	}}, r.now)
 	r.save()
-	g.Expect(r.Observed("w0")).To(Equal(1), "the next owner has to hear of it as well")
+	g.Expect(r.Observed("w0")).To(Equal(1), "the next owner has to learn of it as well")
 	g.Expect(r.Unsaved("w0")).To(BeTrue())
 	r.add("j", flow.Step{Count: 1, Demand: demand(1000)})
 	saves := r.Saves(100)
 	g.Expect(r.Observed("w0")).To(Equal(1))
 	r.Saved(saves, false)
-	g.Expect(r.Observed("w0")).To(Equal(1), "the store has not taken it")
+	g.Expect(r.Observed("w0")).To(Equal(1), "the store has not written it")
 	r.save()
 	g.Expect(r.Observed("w0")).To(Equal(3))
 }
 
-func TestEndOfAJobThatIsOverIsForgottenOnceTheJobsWereReadAgain(t *testing.T) {
+func TestEndOfARetiredJobIsDroppedOnceTheJobsWereReadAgain(t *testing.T) {
 	g := NewWithT(t)
 	r := newRig(0)
 	r.heard("w0", func(*Worker) {})
@@ -81,14 +81,14 @@
 	for _, read := range []time.Time{listed.Add(-time.Second), listed} {
 		r.JobsRead(read)
 		r.save()
-		g.Expect(r.Observed("w0")).To(BeZero(), "a reading that may be older than the end")
+		g.Expect(r.Observed("w0")).To(BeZero(), "the jobs may have been read before the end")
 	}
 	r.JobsRead(listed.Add(time.Millisecond))
 	r.save()
 	g.Expect(r.Observed("w0")).To(Equal(1))
 }
 
-func TestEndOfAJobThatNeverBecomesKnownIsForgottenAtLast(t *testing.T) {
+func TestEndOfAJobThatNeverBecomesKnownExpires(t *testing.T) {
 	g := NewWithT(t)
 	r := newRig(0)
 	r.heard("w0", func(*Worker) {})
--- a/cell/wait_test.go
+++ b/cell/wait_test.go
@@ -12,7 +12,7 @@
 )
 
 var _ = Describe("a step that waits for long", func() {
-	It("is told of with what it waits for, now and then", func() {
+	It("is reported now and then with the reason", func() {
 		r := newRig(1)
 		r.add("j", flow.Step{Count: 1, Demand: demand(9000)})
 		Expect(r.Place(r.now, r.now, 0).Waits).To(BeEmpty())
@@ -21,7 +21,7 @@
 		Expect(r.Place(r.now, r.now, 0).Waits).To(BeEmpty())
 	})
 
-	It("tells a wait for the policy from one for the store and for workers", func() {
+	It("has different reasons for waiting for the policy, the store and workers", func() {
 		r := newRig(1)
 		r.Configure([]Queue{{Name: "q", Pool: "p", MaxAttempts: 1, Advice: &Advice{Valid: time.Hour}}})
 		r.add("j", flow.Step{Count: 1, Demand: demand(1000)})
