--- a/cell/account.go
+++ b/cell/account.go
@@ -58,11 +58,11 @@
 	if priority <= a.urgentPriority {
 		return sched.Vec{}
 	}
-	kept := a.urgentPeak.Max(a.previousUrgentPeak)
-	for d := range kept {
-		kept[d] = max(min(kept[d], a.Limit[d]/urgentDivisor)-a.urgentUsed[d], 0)
+	reserved := a.urgentPeak.Max(a.previousUrgentPeak)
+	for d := range reserved {
+		reserved[d] = max(min(reserved[d], a.Limit[d]/urgentDivisor)-a.urgentUsed[d], 0)
 	}
-	return kept
+	return reserved
 }
 
 // trackUrgentPeak updates the peaks of urgent use.
--- a/cell/choose.go
+++ b/cell/choose.go
@@ -70,7 +70,7 @@
 	if s.def.Near != "" && slices.Contains(w.Labels, s.def.Near) {
 		score += nearBonus
 	}
-	if slices.Contains(t.avoid, w.ID) {
+	if slices.Contains(t.avoidWorkers, w.ID) {
 		score -= avoidPenalty
 	}
 	if w.health.failuresInRow > 0 {
--- a/cell/early.go
+++ b/cell/early.go
@@ -33,8 +33,8 @@
 // addUnmatchedEnd keeps the end of a run of an unknown job.
 func (c *Cell) addUnmatchedEnd(w *worker, f Finished, now time.Time) {
 	c.expireUnmatchedEnds(now)
-	if over := len(c.unmatchedEnds) + 1 - maxUnmatchedEnds; over > 0 {
-		c.unmatchedEnds = slices.Delete(c.unmatchedEnds, 0, over)
+	if excess := len(c.unmatchedEnds) + 1 - maxUnmatchedEnds; excess > 0 {
+		c.unmatchedEnds = slices.Delete(c.unmatchedEnds, 0, excess)
 	}
 	c.unmatchedEnds = append(c.unmatchedEnds, unmatchedEnd{Finished: f, worker: w, at: now})
 }
@@ -96,8 +96,8 @@
 		return
 	}
 	r.worker.unknownRuns--
-	r.stage, r.taken = s, s.def.Room()
-	r.worker.free = r.worker.free.Sub(r.taken)
+	r.stage, r.room = s, s.def.Room()
+	r.worker.free = r.worker.free.Sub(r.room)
 	s.job.charge(s.def.Demand)
 	if s.def.Fills {
 		r.worker.fillerRuns++
--- a/cell/ends.go
+++ b/cell/ends.go
@@ -54,13 +54,13 @@
 }
 
 // requeue lets a task wait again if it has no run left and is not done.
-func (c *Cell) requeue(s *stage, index int, saved string, now time.Time) {
+func (c *Cell) requeue(s *stage, index int, checkpoint string, now time.Time) {
 	if s.unknown {
 		return
 	}
 	t := &s.tasks[index]
-	if saved != "" {
-		t.checkpoint = saved
+	if checkpoint != "" {
+		t.checkpoint = checkpoint
 	}
 	if t.state != taskActive || len(t.runs) > 0 {
 		return
@@ -138,8 +138,8 @@
 	}
 	w.health.runFailed(now)
 	s.job.history.Failed++
-	if !slices.Contains(t.avoid, w.ID) {
-		t.avoid = append(t.avoid, w.ID)
+	if !slices.Contains(t.avoidWorkers, w.ID) {
+		t.avoidWorkers = append(t.avoidWorkers, w.ID)
 	}
 	if s.def.Lasting {
 		return
--- a/cell/job.go
+++ b/cell/job.go
@@ -33,8 +33,8 @@
 	checkpoint string
 	// yieldCount counts how often the task was stopped for a task of a more urgent queue.
 	yieldCount int
-	// avoid lists the workers on which the task failed or stalled.
-	avoid []string
+	// avoidWorkers lists the workers on which the task failed or stalled.
+	avoidWorkers []string
 	// crashes are the runs that were lost with their workers since the last run that went well. The
 	// store has the first storedCrashes of them. lostRacks are the racks of those workers.
 	crashes       []flow.Crash
--- a/cell/leave_test.go
+++ b/cell/leave_test.go
@@ -121,9 +121,9 @@
 		notice  = 8 * time.Second
 		workers = 125
 		leave   = 12
-		// last is how long before the end of its worker a task has to be stopped for the stop to be
+		// stopLead is how long before the end of its worker a task has to be stopped for the stop to be
 		// listed in time.
-		last = 900 * time.Millisecond
+		stopLead = 900 * time.Millisecond
 	)
 	start := func(step flow.Step) *moveSim {
 		m := newMoveSim(newRig(workers))
@@ -158,10 +158,10 @@
 	It("is moved within its limit of missing tasks, and the rest just before the workers end", func() {
 		m := start(flow.Step{Count: 100, MayMiss: 1})
 		m.leave(2*leave, notice)
-		m.play(notice - last - 100*time.Millisecond)
+		m.play(notice - stopLead - 100*time.Millisecond)
 		Expect(m.maxAway).To(Equal(1))
 		Expect(m.runsOnLeavingWorkers()).To(BeNumerically(">", 0))
-		m.play(last)
+		m.play(stopLead)
 		Expect(m.runsOnLeavingWorkers()).To(BeZero())
 	})
 
--- a/cell/life_test.go
+++ b/cell/life_test.go
@@ -13,8 +13,8 @@
 
 var _ = Describe("a worker that restarts under the same id", func() {
 	const before, after = 1000, 2000
-	// lived returns a rig with a worker that gives its Born value in its entry and its lists.
-	lived := func() *rig {
+	// rigWithBorn returns a rig with a worker that gives its Born value in its entry and its lists.
+	rigWithBorn := func() *rig {
 		r := newRig(0)
 		r.heard("w0", func(w *Worker) { w.Born = before })
 		r.Attached("w0", Lists{Born: before}, r.now)
@@ -37,7 +37,7 @@
 
 	It("has its ends numbered from 1 again, even if its clock was set back", func() {
 		for _, next := range []int64{after, before - 500} {
-			r := lived()
+			r := rigWithBorn()
 			r.add("a", flow.Step{Count: 2, Demand: demand(1000)})
 			starts := r.startAll()
 			r.Listed("w0", Lists{Born: before, Finished: []Finished{end(1, starts[0], flow.EndDone), end(2, starts[1], flow.EndDone)}}, r.now, r.now)
@@ -57,7 +57,7 @@
 	})
 
 	It("is not told to discard ends by a save that was in progress", func() {
-		r := lived()
+		r := rigWithBorn()
 		r.add("a", one)
 		s := r.startAll()[0]
 		r.Listed("w0", Lists{Born: before, Finished: []Finished{end(7, s, flow.EndDone)}}, r.now, r.now)
@@ -69,7 +69,7 @@
 	})
 
 	It("is not told to discard ends while it may have a run that it has not listed", func() {
-		r := lived()
+		r := rigWithBorn()
 		r.add("a", one)
 		s := r.startAll()[0]
 		r.Listed("w0", Lists{Born: before, Finished: []Finished{end(3, s, flow.EndDone)}}, r.now, r.now)
@@ -81,7 +81,7 @@
 	})
 
 	It("has lost its earlier runs, which are blamed for the loss", func() {
-		r := lived()
+		r := rigWithBorn()
 		r.add("a", one)
 		s := r.startAll()[0]
 		r.now = r.now.Add(20 * time.Millisecond)
@@ -99,7 +99,7 @@
 	})
 
 	It("keeps runs that it was given before the restart was known", func() {
-		r := lived()
+		r := rigWithBorn()
 		r.add("a", flow.Step{Count: 3, Demand: demand(1000)})
 		starts := r.startAll()
 		row := func(s Start) Running { return Running{Task: s.Task, Run: s.Run} }
@@ -115,7 +115,7 @@
 	})
 
 	It("ends no run by lists that did not come under a newer fencing token", func() {
-		r := lived()
+		r := rigWithBorn()
 		r.add("a", one)
 		s := r.startAll()[0]
 		r.now = r.now.Add(time.Second)
@@ -129,7 +129,7 @@
 	})
 
 	It("is given nothing before its own entry tells its room", func() {
-		r := lived()
+		r := rigWithBorn()
 		reborn(r, Lists{})
 		r.add("a", flow.Step{Count: 2, Demand: demand(1000)})
 		Expect(r.startAll()).To(BeEmpty())
@@ -139,7 +139,7 @@
 	})
 
 	It("is not leaving because the earlier incarnation was", func() {
-		r := lived()
+		r := rigWithBorn()
 		r.heard("w0", func(w *Worker) { w.Born, w.Draining, w.Remaining = before, true, time.Second })
 		reborn(r, Lists{})
 		Expect(r.Left("w0")).To(BeFalse())
@@ -149,7 +149,7 @@
 	})
 
 	It("is asked about again, and no earlier ticket is used", func() {
-		r := lived()
+		r := rigWithBorn()
 		r.Configure([]Queue{{Name: "q", Pool: "p", MaxAttempts: 2, Stretch: 1.5, Advice: &Advice{Decide: 10 * time.Millisecond, Valid: 10 * time.Second}}})
 		r.add("a", one)
 		ask := r.place().Asks[0]
@@ -176,7 +176,7 @@
 	})
 
 	It("is not asked about a third time if the policy permitted the earlier incarnation but not this one", func() {
-		r := lived()
+		r := rigWithBorn()
 		r.Configure([]Queue{{Name: "q", Pool: "p", MaxAttempts: 2, Stretch: 1.5, Advice: &Advice{Decide: 10 * time.Millisecond, Valid: time.Second}}})
 		r.add("a", one)
 		r.Advised(r.place().Asks[0], []Ticket{{Worker: "w0", Text: "old"}}, time.Second, r.now)
--- a/cell/link_test.go
+++ b/cell/link_test.go
@@ -96,7 +96,7 @@
 
 var _ = Describe("a poll of a worker", func() {
 	now := time.Unix(1000, 0)
-	look := func(steps ...flow.Step) time.Duration {
+	pollWait := func(steps ...flow.Step) time.Duration {
 		c := New(0)
 		c.Configure([]Queue{{Name: "q", Pool: "p"}})
 		c.Heard(Worker{ID: "w", Pool: "p", Hall: "h", Room: sched.Vec{sched.Milli: 1 << 30, sched.MiB: 1 << 30}}, now)
@@ -109,24 +109,24 @@
 	long := flow.Step{Count: 1, EstimateMS: 60_000}
 
 	It("is rare where nothing has to be watched", func() {
-		Expect(look()).To(Equal(maxPollInterval))
-		Expect(look(long)).To(Equal(maxPollInterval))
+		Expect(pollWait()).To(Equal(maxPollInterval))
+		Expect(pollWait(long)).To(Equal(maxPollInterval))
 	})
 
 	It("is frequent where a short run may stall", func() {
-		Expect(look(long, flow.Step{Count: 1, EstimateMS: 1000})).To(Equal(minPollInterval))
+		Expect(pollWait(long, flow.Step{Count: 1, EstimateMS: 1000})).To(Equal(minPollInterval))
 	})
 
 	It("is frequent where filler runs are beside a serving one", func() {
 		serves := flow.Step{Count: 1, Lasting: true, TargetMS: 100}
-		Expect(look(serves)).To(BeNumerically(">", minPollInterval))
-		Expect(look(serves, flow.Step{Count: 1, Fills: true, EstimateMS: 60_000})).To(Equal(minPollInterval))
+		Expect(pollWait(serves)).To(BeNumerically(">", minPollInterval))
+		Expect(pollWait(serves, flow.Step{Count: 1, Fills: true, EstimateMS: 60_000})).To(Equal(minPollInterval))
 	})
 
 	It("is less frequent where runs save checkpoints", func() {
 		saves := long
 		saves.Checkpoints = true
-		Expect(look(saves)).To(Equal(checkpointPollInterval))
+		Expect(pollWait(saves)).To(Equal(checkpointPollInterval))
 	})
 
 	It("is frequent if the worker is not known", func() {
--- a/cell/owner_test.go
+++ b/cell/owner_test.go
@@ -68,13 +68,13 @@
 		r := newRig(1)
 		// All runs were checked a moment ago; a new one is checked at once.
 		r.Place(r.now, r.now, 0)
-		stray := Running{Task: flow.TaskID{Job: "gone"}, Run: 1 << 12}
-		r.Attached("w0", Lists{Running: []Running{stray}}, r.now)
+		unknownRun := Running{Task: flow.TaskID{Job: "gone"}, Run: 1 << 12}
+		r.Attached("w0", Lists{Running: []Running{unknownRun}}, r.now)
 		r.add("j", flow.Step{Count: 1, Demand: demand(1000)})
 		a := r.place()
 		Expect(a.Starts).To(BeEmpty())
 		Expect(a.Stops).To(HaveLen(1))
-		r.Listed("w0", Lists{Finished: []Finished{{Number: 1, Task: stray.Task, Run: stray.Run, How: flow.EndStopped}}}, r.now, r.now)
+		r.Listed("w0", Lists{Finished: []Finished{{Number: 1, Task: unknownRun.Task, Run: unknownRun.Run, How: flow.EndStopped}}}, r.now, r.now)
 		Expect(r.place().Starts).To(HaveLen(1))
 	})
 })
--- a/cell/place.go
+++ b/cell/place.go
@@ -277,7 +277,7 @@
 		}
 		w, ticket := c.choose(s, t, q, now)
 		if w == nil {
-			if len(t.avoid) == 0 && !s.needsTrial(t) {
+			if len(t.avoidWorkers) == 0 && !s.needsTrial(t) {
 				return
 			}
 			continue
@@ -307,17 +307,17 @@
 	if !ok {
 		return
 	}
-	n, saved := s.gangLastRun, ""
+	n, checkpoint := s.gangLastRun, ""
 	for i := range s.tasks {
 		n = max(n, s.tasks[i].lastRun)
 		if s.tasks[i].checkpoint != "" {
-			saved = s.tasks[i].checkpoint
+			checkpoint = s.tasks[i].checkpoint
 		}
 	}
 	n++
 	for i, p := range picks {
 		t := &s.tasks[i]
-		t.checkpoint, t.lastRun = saved, n
+		t.checkpoint, t.lastRun = checkpoint, n
 		a.Starts = append(a.Starts, c.startRun(s, i, p.worker, n, p.ticket, now))
 	}
 	s.gangLastRun = n
@@ -351,7 +351,7 @@
 	t := &s.tasks[index]
 	s.setWaiting(t, false)
 	t.state = taskActive
-	r := &run{stage: s, index: index, number: n + c.runBase, worker: w, decidedAt: now, taken: s.def.Room(), checkpoint: t.checkpoint}
+	r := &run{stage: s, index: index, number: n + c.runBase, worker: w, decidedAt: now, room: s.def.Room(), checkpoint: t.checkpoint}
 	t.runs = append(t.runs, r)
 	w.addRun(r)
 	s.countRunOn(w, 1)
--- a/cell/reserve.go
+++ b/cell/reserve.go
@@ -144,17 +144,17 @@
 	if o.tasks == 0 || !w.health.allows(0, now) {
 		return offer{}
 	}
-	ends := slices.Clone(w.runList)
-	slices.SortStableFunc(ends, func(a, b *run) int {
+	runs := slices.Clone(w.runList)
+	slices.SortStableFunc(runs, func(a, b *run) int {
 		return cmp.Compare(c.timeUntilFree(a, q, now), c.timeUntilFree(b, q, now))
 	})
 	need := room.Scale(int64(o.tasks))
 	free := w.free.Sub(w.reserved)
-	for _, r := range ends {
+	for _, r := range runs {
 		if free.Covers(&need) {
 			break
 		}
-		free = free.Add(r.taken)
+		free = free.Add(r.room)
 		o.wait = c.timeUntilFree(r, q, now)
 	}
 	if !free.Covers(&need) || o.wait >= neverFrees {
@@ -206,7 +206,7 @@
 	for _, r := range w.runList {
 		switch {
 		case r.stopping || r.remaining(now) <= minYieldGain:
-			free = free.Add(r.taken)
+			free = free.Add(r.room)
 		case c.mayYield(r, q):
 			yielders = append(yielders, r)
 		}
@@ -216,10 +216,10 @@
 		if free.Covers(&need) {
 			return
 		}
-		if !fillsShortage(&free, &need, &r.taken) {
+		if !fillsShortage(&free, &need, &r.room) {
 			continue
 		}
-		free = free.Add(r.taken)
+		free = free.Add(r.room)
 		r.stopping, r.stopSent = true, time.Time{}
 		r.stage.tasks[r.index].yieldCount++
 		r.stage.job.history.Yields++
--- a/cell/reserve_test.go
+++ b/cell/reserve_test.go
@@ -41,9 +41,9 @@
 	})
 
 	It("has no tasks stopped that would start over or are as urgent", func() {
-		anew := small
-		anew.Checkpoints = false
-		r, _ := full("later", anew)
+		noCheckpoints := small
+		noCheckpoints.Checkpoints = false
+		r, _ := full("later", noCheckpoints)
 		submit(r, "b", "q", large)
 		Expect(r.place().Stops).To(BeEmpty())
 
--- a/cell/run.go
+++ b/cell/run.go
@@ -32,7 +32,7 @@
 	// run.
 	lastProgress, lastListed time.Time
 	checkpoint               string
-	taken                    sched.Vec
+	room                     sched.Vec
 	// tail is the figure described at Running.Tail. throttlePercent is the reduction of its speed
 	// that the worker was last told, in percent; -1 if that is not known.
 	tail            int64
@@ -58,7 +58,7 @@
 func (w *worker) addRun(r *run) {
 	w.runs[runKey{r.task(), r.number}] = r
 	w.runList = append(w.runList, r)
-	w.free = w.free.Sub(r.taken)
+	w.free = w.free.Sub(r.room)
 	r.stage.job.charge(r.stage.def.Demand)
 	if r.stage.def.Fills {
 		w.fillerRuns++
@@ -73,7 +73,7 @@
 	r.endTrial(false)
 	delete(r.worker.runs, runKey{r.task(), r.number})
 	r.worker.runList = slices.DeleteFunc(r.worker.runList, func(o *run) bool { return o == r })
-	r.worker.free = r.worker.free.Add(r.taken)
+	r.worker.free = r.worker.free.Add(r.room)
 	r.stage.job.refund(r.stage.def.Demand)
 	if r.stage.def.Fills {
 		r.worker.fillerRuns--
--- a/cell/stop.go
+++ b/cell/stop.go
@@ -83,7 +83,7 @@
 	r.stopSent = time.Time{}
 	c.noteChange(r, RunStalled)
 	r.worker.health.runStalled(now)
-	r.stage.tasks[r.index].avoid = append(r.stage.tasks[r.index].avoid, r.worker.ID)
+	r.stage.tasks[r.index].avoidWorkers = append(r.stage.tasks[r.index].avoidWorkers, r.worker.ID)
 }
 
 // stallAfter returns how long r may go without progress.
--- a/cell/wait.go
+++ b/cell/wait.go
@@ -115,7 +115,7 @@
 	free := w.free.Sub(w.reserved)
 	for _, r := range w.runList {
 		if r.stopping || c.mayYield(r, q) {
-			free = free.Add(r.taken)
+			free = free.Add(r.room)
 		}
 	}
 	if free.Covers(&room) {
--- a/cell/worker.go
+++ b/cell/worker.go
@@ -385,7 +385,7 @@
 	if s == nil || row.Task.Index >= len(s.tasks) || s.tasks[row.Task.Index].state == taskElsewhere {
 		s = &stage{job: &job{spec: &flow.Spec{ID: row.Task.Job}, state: flow.Canceled}, time: row.Task.Time, step: row.Task.Step, def: &flow.Step{}, unknown: true}
 	}
-	r := &run{stage: s, index: row.Task.Index, number: row.Run, worker: w, decidedAt: now, taken: s.def.Room()}
+	r := &run{stage: s, index: row.Task.Index, number: row.Run, worker: w, decidedAt: now, room: s.def.Room()}
 	w.addRun(r)
 	c.runsNeedCheck = true
 	if !s.unknown {
