--- a/cell/account.go
+++ b/cell/account.go
@@ -153,7 +153,7 @@
 func (j *job) refund(demand sched.Vec) { j.charge(demand.Scale(-1)) }
 
 // LimitCovers reports whether a demand is within the limit of a.
-func (a *Account) Holds(demand sched.Vec) bool {
+func (a *Account) LimitCovers(demand sched.Vec) bool {
 	for d, limit := range a.Limit {
 		if limit > 0 && demand[d] > limit {
 			return false
@@ -170,7 +170,7 @@
 			sum[d] = 0
 		}
 	}
-	return a.Holds(sum)
+	return a.LimitCovers(sum)
 }
 
 // idle reports whether nothing of a is running or may be running.
@@ -214,7 +214,7 @@
 // AccountUse is an account with its use of the cell.
 type AccountUse struct {
 	Account
-	Used, Maybe sched.Vec
+	Used, PossiblyUsed sched.Vec
 }
 
 // usage returns the use of the cell by a, which may be nil.
@@ -222,7 +222,7 @@
 	if a == nil {
 		return AccountUse{}
 	}
-	return AccountUse{Account: a.Account, Used: a.used, Maybe: a.possiblyUsed}
+	return AccountUse{Account: a.Account, Used: a.used, PossiblyUsed: a.possiblyUsed}
 }
 
 // MayUse reports whether an account may query and cancel a job: its own, one of an open queue, or
--- a/cell/account_test.go
+++ b/cell/account_test.go
@@ -24,7 +24,7 @@
 // addFor submits a job of an account and marks it stored.
 func (r *rig) addFor(account, id string, steps ...flow.Step) {
 	r.Submit(&flow.Spec{ID: id, Queue: "q", Account: account, Steps: steps}, r.now, r.now)
-	r.Keep(id)
+	r.JobStored(id)
 }
 
 func limit(cpu, mem int64) sched.Vec { return sched.Vec{sched.Milli: cpu, sched.MiB: mem} }
@@ -52,7 +52,7 @@
 	r.accounts(Account{Name: "a", Limit: limit(1000, 0)})
 	r.addFor("a", "j1", flow.Step{Count: 1, Demand: demand(1000)})
 	first := r.startAll()
-	r.Unsure(first[0].Worker, r.now)
+	r.Detached(first[0].Worker, r.now)
 	r.addFor("a", "j2", flow.Step{Count: 1, Demand: demand(1000)})
 	g.Expect(r.startAll()).To(BeEmpty(), "the first run may have begun")
 	r.Attached(first[0].Worker, Lists{Running: []Running{{Task: first[0].Task, Run: first[0].Run}}}, r.now)
@@ -158,7 +158,7 @@
 	first := r.startAll()
 	g.Expect(first).To(HaveLen(2))
 	r.Submit(&flow.Spec{ID: "batch", Queue: "batch", Account: "a", Steps: []flow.Step{{Count: 20, Demand: demand(1000)}}}, r.now, r.now)
-	r.Keep("batch")
+	r.JobStored("batch")
 	g.Expect(r.startAll()).To(HaveLen(6))
 	for _, s := range first {
 		r.end(s, flow.EndDone)
--- a/cell/advice_test.go
+++ b/cell/advice_test.go
@@ -53,7 +53,7 @@
 		})
 		submit := func(id, queue string) {
 			r.Submit(&flow.Spec{ID: id, Queue: queue, Steps: []flow.Step{{Count: 1, Demand: demand(1000)}}}, r.now, r.now)
-			r.Keep(id)
+			r.JobStored(id)
 		}
 		for i := range 6 {
 			submit(fmt.Sprintf("l%d", i), "long")
--- a/cell/ask_load_test.go
+++ b/cell/ask_load_test.go
@@ -61,7 +61,7 @@
 		r.Attached("w0", Lists{}, r.now)
 		r.heard("w9", func(*Worker) {})
 		Expect(r.place().Asks).To(BeEmpty())
-		r.Lapsed("w9", LossSilent, r.now)
+		r.WorkerLost("w9", LossSilent, r.now)
 		Expect(r.place().Asks).To(HaveLen(1))
 	})
 
@@ -73,7 +73,7 @@
 		})
 		submit := func(id, queue string) {
 			r.Submit(&flow.Spec{ID: id, Queue: queue, Steps: []flow.Step{{Count: 1, Demand: demand(1000)}}}, r.now, r.now)
-			r.Keep(id)
+			r.JobStored(id)
 		}
 		for i := range 6 {
 			submit(fmt.Sprint(i), "long")
--- a/cell/ask_share_test.go
+++ b/cell/ask_share_test.go
@@ -80,7 +80,7 @@
 		}
 		submit := func(id, queue string) {
 			r.Submit(&flow.Spec{ID: id, Queue: queue, Steps: []flow.Step{{Count: 1, Demand: demand(1000)}}}, r.now, r.now)
-			r.Keep(id)
+			r.JobStored(id)
 		}
 		for i := range steps {
 			submit(fmt.Sprintf("b%02d", i), "busy")
@@ -102,7 +102,7 @@
 		}
 		submit := func(id, queue string) {
 			r.Submit(&flow.Spec{ID: id, Queue: queue, Steps: []flow.Step{{Count: 1, Demand: demand(1000), Lasting: queue == "service"}}}, r.now, r.now)
-			r.Keep(id)
+			r.JobStored(id)
 		}
 		for i := range steps {
 			submit(fmt.Sprintf("b%02d", i), "batch")
--- a/cell/bench_test.go
+++ b/cell/bench_test.go
@@ -35,7 +35,7 @@
 	for i := range waiting {
 		id := fmt.Sprintf("s%d", i)
 		r.Submit(&flow.Spec{ID: id, Queue: "slow", Steps: []flow.Step{{Count: 17, Demand: demand(4500), EstimateMS: 4800}}}, r.now, r.now)
-		r.Keep(id)
+		r.JobStored(id)
 		for _, a := range r.place().Asks {
 			var tickets []Ticket
 			for _, w := range a.Workers {
--- a/cell/cancelled_test.go
+++ b/cell/cancelled_test.go
@@ -20,7 +20,7 @@
 		r.add("j", flow.Step{Count: 1, Demand: demand(1000)})
 		order := r.place().Starts[0]
 		// The order is not answered: the worker is attached again and does not list the run.
-		r.Unsure("w0", r.now)
+		r.Detached("w0", r.now)
 		r.Attached("w0", Lists{}, r.now)
 		Expect(r.Cancel("j", r.now)).To(BeTrue())
 		r.save()
--- a/cell/cell.go
+++ b/cell/cell.go
@@ -83,7 +83,7 @@
 	activeTrials, maxTrials int
 	// inheritedWorkerLost means that a worker of a former owner had gone when this owner took over.
 	inheritedWorkerLost bool
-	givenUps            []GivenUp
+	givenUps            []GivenUpTask
 	// lostRuns collects the runs that were lost with their workers until LostRuns returns them.
 	lostRuns []LostRun
 	// sendBudget is the number of bytes that the starts of the next decision may take,
--- a/cell/cell_test.go
+++ b/cell/cell_test.go
@@ -54,7 +54,7 @@
 // add submits a job and marks it stored.
 func (r *rig) add(id string, steps ...flow.Step) {
 	r.Submit(&flow.Spec{ID: id, Queue: "q", Steps: steps}, r.now, r.now)
-	r.Keep(id)
+	r.JobStored(id)
 }
 
 // place decides, stores what has to be stored first, and decides again.
@@ -81,7 +81,7 @@
 // end lists the end of a run.
 func (r *rig) end(s Start, how flow.End) {
 	r.ends[s.Worker]++
-	r.Listed(s.Worker, Lists{Finished: []Finished{{Number: r.ends[s.Worker], Task: s.Task, Run: s.Run, How: how}}, Cut: true}, r.now, r.now)
+	r.Listed(s.Worker, Lists{Finished: []Finished{{Number: r.ends[s.Worker], Task: s.Task, Run: s.Run, How: how}}, Truncated: true}, r.now, r.now)
 }
 
 var _ = Describe("a job", func() {
@@ -159,7 +159,7 @@
 	It("uses up no run numbers and does not begin while a gang waits for room", func() {
 		r := newRig(1)
 		r.Submit(&flow.Spec{ID: "j", Queue: "q", Hall: "h", Steps: []flow.Step{{Count: 5, Demand: demand(1000), Gang: true}}}, r.now, r.now)
-		r.Keep("j")
+		r.JobStored("j")
 		for range 5000 {
 			Expect(r.Place(r.now, r.now, 0).Starts).To(BeEmpty())
 		}
@@ -202,7 +202,7 @@
 		r.heard("far", func(w *Worker) { w.Hall = "other" })
 		r.Attached("far", Lists{}, r.now)
 		r.Submit(&flow.Spec{ID: "j", Queue: "q", Hall: "h", Steps: []flow.Step{{Count: 5, Demand: demand(1000)}}}, r.now, r.now)
-		r.Keep("j")
+		r.JobStored("j")
 		own := r.Place(r.now, r.now, 0).Starts
 		Expect(own).To(HaveLen(4))
 		for _, s := range own {
@@ -225,7 +225,7 @@
 		r := newRig(1)
 		spec := &flow.Spec{ID: "j", Queue: "q", Times: 2, StartMS: r.now.Add(time.Second).UnixMilli(), EveryMS: 1000, Steps: []flow.Step{{Count: 1, Demand: demand(100)}}}
 		r.Submit(spec, r.now, r.now)
-		r.Keep("j")
+		r.JobStored("j")
 		Expect(r.startAll()).To(BeEmpty())
 		r.now = r.now.Add(1100 * time.Millisecond)
 		Expect(r.startAll()).To(HaveLen(1))
@@ -266,7 +266,7 @@
 		r := newRig(2)
 		r.add("j", flow.Step{Count: 1, Demand: demand(4000)})
 		s := r.place().Starts[0]
-		r.Unsure(s.Worker, r.now)
+		r.Detached(s.Worker, r.now)
 		Expect(r.startAll()).To(BeEmpty())
 		r.Attached(s.Worker, Lists{}, r.now)
 		again := r.startAll()
@@ -278,9 +278,9 @@
 		r := newRig(2)
 		r.add("j", flow.Step{Count: 1, Demand: demand(4000)})
 		s := r.startAll()[0]
-		r.Unsure(s.Worker, r.now)
+		r.Detached(s.Worker, r.now)
 		Expect(r.startAll()).To(BeEmpty())
-		r.Lapsed(s.Worker, LossSilent, r.now)
+		r.WorkerLost(s.Worker, LossSilent, r.now)
 		again := r.startAll()
 		Expect(again).To(HaveLen(1))
 		Expect(again[0].Worker).NotTo(Equal(s.Worker))
@@ -370,7 +370,7 @@
 
 	It("puts nothing on a worker whose entry is missing", func() {
 		r := newRig(1)
-		r.Missing("w0")
+		r.EntryMissing("w0")
 		r.add("j", flow.Step{Count: 1, Demand: demand(1000)})
 		Expect(r.startAll()).To(BeEmpty())
 	})
@@ -381,7 +381,7 @@
 		starts := r.startAll()
 		Expect(starts).To(HaveLen(3))
 		for _, s := range starts {
-			r.Listed(s.Worker, Lists{Running: []Running{{Task: s.Task, Run: s.Run, Percent: 100}}, Cut: true}, r.now, r.now)
+			r.Listed(s.Worker, Lists{Running: []Running{{Task: s.Task, Run: s.Run, Percent: 100}}, Truncated: true}, r.now, r.now)
 		}
 		r.heard(starts[0].Worker, func(w *Worker) { w.Draining, w.Remaining = true, time.Second })
 		Expect(r.place().Stops).To(HaveLen(1))
--- a/cell/crash.go
+++ b/cell/crash.go
@@ -96,13 +96,13 @@
 }
 
 // GivenUpTask is a task that is not started any more because its workers crashed.
-type GivenUp struct {
+type GivenUpTask struct {
 	Task    flow.TaskID
 	Crashes []flow.Crash
 }
 
 // GivenUpTasks returns the tasks given up since the last call.
-func (c *Cell) GivenUps() []GivenUp {
+func (c *Cell) GivenUpTasks() []GivenUpTask {
 	out := c.givenUps
 	c.givenUps = nil
 	return out
@@ -407,7 +407,7 @@
 	if t.state == taskDone || t.state == taskGivenUp || s.job.state.Final() || !mustGiveUp(s.crashesOf(index)) {
 		return
 	}
-	c.givenUps = append(c.givenUps, GivenUp{Task: s.taskID(index), Crashes: s.crashesOf(index)})
+	c.givenUps = append(c.givenUps, GivenUpTask{Task: s.taskID(index), Crashes: s.crashesOf(index)})
 	if s.job.share.Foreign() {
 		if t.state == taskWaiting {
 			s.setWaiting(t, false)
--- a/cell/crash_owner_test.go
+++ b/cell/crash_owner_test.go
@@ -16,7 +16,7 @@
 func (r *rig) loseWorkersSilently(starts ...Start) {
 	r.now = r.now.Add(10 * time.Millisecond)
 	for _, s := range starts {
-		r.Unsure(s.Worker, r.now)
+		r.Detached(s.Worker, r.now)
 	}
 	r.now = r.now.Add(6 * time.Second)
 	for _, s := range starts {
@@ -31,7 +31,7 @@
 	spec := &flow.Spec{ID: "j", Queue: "q", Hall: "h", Steps: []flow.Step{{Count: 1, Demand: demand(1000)}}}
 	former := newRig(3)
 	former.Submit(spec, former.now, former.now)
-	former.Keep("j")
+	former.JobStored("j")
 	former.add("other", flow.Step{Count: 1, Demand: demand(4000)})
 	first := former.place().Starts
 	g.Expect(first).To(HaveLen(2))
@@ -73,7 +73,7 @@
 	r := newRig(3)
 	spec := &flow.Spec{ID: "j", Queue: "q", Steps: []flow.Step{{Count: 1, Demand: demand(1000)}}}
 	r.Submit(spec, r.now, r.now)
-	r.Keep("j")
+	r.JobStored("j")
 	first := r.startAll()[0]
 	r.loseWorkerOf(first, 10*time.Millisecond)
 	g.Expect(r.Place(r.now, r.now, 0).Starts).To(BeEmpty(), "the store does not have the loss yet")
--- a/cell/crash_sim_test.go
+++ b/cell/crash_sim_test.go
@@ -81,7 +81,7 @@
 	if s.now.Before(p.downUntil) {
 		return
 	}
-	s.Unsure(p.name(), s.now)
+	s.Detached(p.name(), s.now)
 	s.HungUp(p.name(), true)
 	p.runs, p.downUntil = nil, s.now.Add(s.downFor)
 }
--- a/cell/crash_test.go
+++ b/cell/crash_test.go
@@ -154,7 +154,7 @@
 	r.add("j", flow.Step{Count: 2, Demand: demand(1000), Copies: true})
 	first := r.startAll()
 	r.now = r.now.Add(10 * time.Millisecond)
-	r.Unsure(first[0].Worker, r.now)
+	r.Detached(first[0].Worker, r.now)
 	r.HungUp(first[0].Worker, true)
 	r.Forget(first[0].Worker, LossReborn, r.now)
 	// After another trial of the job went well, a trial in progress does not hold up the next.
@@ -164,7 +164,7 @@
 	trial := r.startAll()
 	g.Expect(trial).To(HaveLen(1))
 	r.now = r.now.Add(youngRunAge + 100*time.Millisecond)
-	r.Unsure(trial[0].Worker, r.now)
+	r.Detached(trial[0].Worker, r.now)
 	r.HungUp(trial[0].Worker, true)
 	r.now = r.now.Add(copyDelay + runCheckInterval)
 	g.Expect(r.startAll()).To(BeEmpty())
@@ -178,7 +178,7 @@
 		first := r.startAll()
 		g.Expect(first).To(HaveLen(1))
 		r.now = r.now.Add(10 * time.Millisecond)
-		r.Unsure(first[0].Worker, r.now)
+		r.Detached(first[0].Worker, r.now)
 		if hungUp {
 			r.HungUp(first[0].Worker, true)
 		}
@@ -208,7 +208,7 @@
 	s.Name, s.length = "b", endless
 	s.crashAfter = func(t flow.TaskID) time.Duration { return map[int]time.Duration{1: 10 * time.Millisecond}[t.Index] }
 	s.Submit(&flow.Spec{ID: "j", Queue: "q", Cell: "a", Shares: []string{"b"}, Steps: []flow.Step{{Count: 4, Demand: demand(1000), Lasting: true}}}, s.now, s.now)
-	s.Keep("j")
+	s.JobStored("j")
 	s.run(30 * time.Second)
 	g.Expect(state(s, "j")).To(Equal(flow.Running))
 	g.Expect(s.maxLateStarts()).To(BeNumerically("<=", allowedLateStarts))
@@ -248,9 +248,9 @@
 		starts := r.startAll()
 		g.Expect(starts).To(HaveLen(1), "after %d", i)
 		r.now = r.now.Add(300 * time.Millisecond)
-		r.Unsure(starts[0].Worker, r.now)
+		r.Detached(starts[0].Worker, r.now)
 		r.now = r.now.Add(6 * time.Second)
-		r.Lapsed(starts[0].Worker, LossSilent, r.now)
+		r.WorkerLost(starts[0].Worker, LossSilent, r.now)
 		r.Attached(starts[0].Worker, Lists{}, r.now)
 	}
 	s, _ := r.State("j")
@@ -267,9 +267,9 @@
 		if len(starts) == 0 {
 			break
 		}
-		r.Unsure(starts[0].Worker, r.now)
+		r.Detached(starts[0].Worker, r.now)
 		r.now = r.now.Add(7 * time.Second)
-		r.Lapsed(starts[0].Worker, LossSilent, r.now)
+		r.WorkerLost(starts[0].Worker, LossSilent, r.now)
 		r.save()
 		r.Attached(starts[0].Worker, Lists{}, r.now)
 	}
@@ -287,11 +287,11 @@
 		g.Expect(r.startAll()).NotTo(BeEmpty())
 		for i := range 4 {
 			r.now = r.now.Add(400 * time.Millisecond)
-			r.Unsure(fmt.Sprintf("w%d", i), r.now)
+			r.Detached(fmt.Sprintf("w%d", i), r.now)
 		}
 		r.now = r.now.Add(7 * time.Second)
 		for i := range 4 {
-			r.Lapsed(fmt.Sprintf("w%d", i), LossSilent, r.now)
+			r.WorkerLost(fmt.Sprintf("w%d", i), LossSilent, r.now)
 		}
 		r.save()
 		for i := range 4 {
@@ -314,7 +314,7 @@
 		r.Attached(id, Lists{}, r.now)
 		g.Expect(r.startAll()).To(HaveLen(1))
 		r.heard(id, func(w *Worker) { w.Draining = true })
-		r.Unsure(id, r.now)
+		r.Detached(id, r.now)
 		r.Forget(id, LossReborn, r.now)
 	}
 	s, _ := r.State("j")
@@ -338,7 +338,7 @@
 // loseWorkerOf ends the worker of a run, and no other.
 func (r *rig) loseWorkerOf(s Start, after time.Duration) {
 	r.now = r.now.Add(after)
-	r.Unsure(s.Worker, r.now)
+	r.Detached(s.Worker, r.now)
 	r.HungUp(s.Worker, true)
 	r.now = r.now.Add(time.Second)
 	r.Forget(s.Worker, LossReborn, r.now)
@@ -364,7 +364,7 @@
 		r.now = r.now.Add(1500 * time.Millisecond)
 		r.add("k", flow.Step{Count: 1, Demand: demand(1000)})
 		r.startAll()
-		r.Unsure(s.Worker, r.now)
+		r.Detached(s.Worker, r.now)
 		r.HungUp(s.Worker, seen)
 		r.Forget(s.Worker, LossReborn, r.now.Add(time.Second))
 		blame := r.jobs["j"].stages[0].tasks[0].crashes[0].Blame
--- a/cell/empty.go
+++ b/cell/empty.go
@@ -10,7 +10,7 @@
 // Evacuate sets the workers to evacuate, replacing the previous set: they are given nothing new,
 // and their runs are moved as from a leaving worker. Each may be taken down, with the limits
 // described at Evacuated, once patience has passed since it was first named.
-func (c *Cell) Empty(ids []string, patience time.Duration, now time.Time) {
+func (c *Cell) Evacuate(ids []string, patience time.Duration, now time.Time) {
 	for _, w := range c.sortedWorkers {
 		switch wanted := slices.Contains(ids, w.ID); {
 		case wanted && w.evacuateBy.IsZero():
@@ -23,7 +23,7 @@
 
 // Evacuated reports whether a worker under evacuation may be taken down: it runs nothing, or its
 // deadline has passed and it has no run at work of a step that limits its missing tasks.
-func (c *Cell) Emptied(id string, now time.Time) bool {
+func (c *Cell) Evacuated(id string, now time.Time) bool {
 	w := c.workers[id]
 	if w == nil || w.evacuateBy.IsZero() || !w.attached {
 		return false
--- a/cell/empty_test.go
+++ b/cell/empty_test.go
@@ -14,25 +14,25 @@
 var _ = Describe("a worker under evacuation", func() {
 	const patience = 2 * time.Second
 	atWork := func(r *rig, s Start) {
-		r.Listed(s.Worker, Lists{Running: []Running{{Task: s.Task, Run: s.Run, Percent: 100}}, Cut: true}, r.now, r.now)
+		r.Listed(s.Worker, Lists{Running: []Running{{Task: s.Task, Run: s.Run, Percent: 100}}, Truncated: true}, r.now, r.now)
 	}
 
 	It("gets nothing new, and may be taken down when nothing runs there", func() {
 		r := newRig(1)
-		Expect(r.Emptied("w0", r.now)).To(BeFalse(), "it is not under evacuation")
-		r.Empty([]string{"w0"}, patience, r.now)
-		Expect(r.Emptied("w0", r.now)).To(BeTrue())
+		Expect(r.Evacuated("w0", r.now)).To(BeFalse(), "it is not under evacuation")
+		r.Evacuate([]string{"w0"}, patience, r.now)
+		Expect(r.Evacuated("w0", r.now)).To(BeTrue())
 		r.add("j", flow.Step{Count: 1, Demand: demand(1000)})
 		Expect(r.startAll()).To(BeEmpty())
-		r.Empty(nil, 0, r.now)
+		r.Evacuate(nil, 0, r.now)
 		Expect(r.startAll()).To(HaveLen(1))
 	})
 
 	It("may not be taken down while it is not known what runs there", func() {
 		r := newRig(1)
-		r.Empty([]string{"w0"}, patience, r.now)
-		r.Unsure("w0", r.now)
-		Expect(r.Emptied("w0", r.now)).To(BeFalse())
+		r.Evacuate([]string{"w0"}, patience, r.now)
+		r.Detached("w0", r.now)
+		Expect(r.Evacuated("w0", r.now)).To(BeFalse())
 	})
 
 	It("is drained only when all its ends are stored", func() {
@@ -40,23 +40,23 @@
 		r.add("j", flow.Step{Count: 1, Demand: demand(1000)})
 		s := r.startAll()[0]
 		r.heard("w0", func(w *Worker) { w.Draining, w.Remaining = true, time.Second })
-		Expect(r.Left("w0")).To(BeFalse())
+		Expect(r.Drained("w0")).To(BeFalse())
 		r.end(s, flow.EndDone)
-		Expect(r.Left("w0")).To(BeFalse(), "the end is not stored")
+		Expect(r.Drained("w0")).To(BeFalse(), "the end is not stored")
 		r.save()
-		Expect(r.Left("w0")).To(BeTrue())
+		Expect(r.Drained("w0")).To(BeTrue())
 	})
 
 	It("may finish its tasks until the deadline", func() {
 		r := newRig(1)
 		r.add("j", flow.Step{Count: 1, Demand: demand(1000), EstimateMS: 500})
 		Expect(r.startAll()).To(HaveLen(1))
-		r.Empty([]string{"w0"}, patience, r.now)
+		r.Evacuate([]string{"w0"}, patience, r.now)
 		Expect(r.place().Stops).To(BeEmpty())
-		Expect(r.Emptied("w0", r.now)).To(BeFalse())
+		Expect(r.Evacuated("w0", r.now)).To(BeFalse())
 		r.now = r.now.Add(patience)
-		r.Empty([]string{"w0"}, patience, r.now)
-		Expect(r.Emptied("w0", r.now)).To(BeTrue(), "patience counts from the first call")
+		r.Evacuate([]string{"w0"}, patience, r.now)
+		Expect(r.Evacuated("w0", r.now)).To(BeTrue(), "patience counts from the first call")
 	})
 
 	It("has its lasting tasks moved, and stays while a step would miss too many", func() {
@@ -67,13 +67,13 @@
 		for _, s := range starts {
 			atWork(r, s)
 		}
-		r.Empty([]string{"w0"}, patience, r.now)
+		r.Evacuate([]string{"w0"}, patience, r.now)
 		Expect(r.place().Stops).To(BeEmpty(), "the other worker may take no second task")
 		r.now = r.now.Add(2 * patience)
-		Expect(r.Emptied("w0", r.now)).To(BeFalse())
+		Expect(r.Evacuated("w0", r.now)).To(BeFalse())
 		r.heard("w2", func(*Worker) {})
 		r.Attached("w2", Lists{}, r.now)
 		Expect(r.place().Stops).To(HaveLen(1))
-		Expect(r.Emptied("w0", r.now)).To(BeTrue(), "its task is being stopped")
+		Expect(r.Evacuated("w0", r.now)).To(BeTrue(), "its task is being stopped")
 	})
 })
--- a/cell/ends.go
+++ b/cell/ends.go
@@ -33,8 +33,8 @@
 	s.job.began = true
 	t := &s.tasks[f.Task.Index]
 	t.lastRun = max(t.lastRun, f.Run-c.runBase)
-	if f.Saved != "" {
-		t.checkpoint = f.Saved
+	if f.Checkpoint != "" {
+		t.checkpoint = f.Checkpoint
 	}
 	switch f.How {
 	case flow.EndDone:
@@ -50,7 +50,7 @@
 		c.counts.Lapsed++
 		s.job.history.Lost++
 	}
-	c.requeue(s, f.Task.Index, f.Saved, now)
+	c.requeue(s, f.Task.Index, f.Checkpoint, now)
 }
 
 // requeue lets a task wait again if it has no run left and is not done.
@@ -210,7 +210,7 @@
 	switch o {
 	case NoRoom:
 		// The worker's free room is not what this cell has recorded.
-		c.Unsure(worker, now)
+		c.Detached(worker, now)
 		w.health.noRoom(now)
 	case NoTicket:
 		r.stage.advice.expireTicket(w)
--- a/cell/job.go
+++ b/cell/job.go
@@ -119,7 +119,7 @@
 	stagesLeft    int
 	// dirty means that the job is in Cell.dirty, waiting to be saved.
 	dirty   bool
-	history Story
+	history JobHistory
 	// longestChain is the estimated duration of the longest chain of steps.
 	longestChain time.Duration
 	// hall is the preferred hall for the job's tasks, so that the loss of a hall affects few jobs.
@@ -188,7 +188,7 @@
 }
 
 // JobStored reports to the cell that the store has the job.
-func (c *Cell) Keep(id string) {
+func (c *Cell) JobStored(id string) {
 	if j := c.jobs[id]; j != nil && !j.stored {
 		j.stored = true
 		j.storedState = flow.Pending
--- a/cell/life_test.go
+++ b/cell/life_test.go
@@ -21,7 +21,7 @@
 		return r
 	}
 	reborn := func(r *rig, l Lists) {
-		r.Unsure("w0", r.now)
+		r.Detached("w0", r.now)
 		l.Born = after
 		r.Attached("w0", l, r.now)
 	}
@@ -43,7 +43,7 @@
 			r.Listed("w0", Lists{Born: before, Finished: []Finished{end(1, starts[0], flow.EndDone), end(2, starts[1], flow.EndDone)}}, r.now, r.now)
 			r.save()
 			Expect(r.Observed("w0")).To(Equal(2))
-			r.Unsure("w0", r.now)
+			r.Detached("w0", r.now)
 			r.Attached("w0", Lists{Born: next}, r.now)
 			Expect(r.Observed("w0")).To(BeZero(), "born %d", next)
 			hear(r, next)
@@ -85,7 +85,7 @@
 		r.add("a", one)
 		s := r.startAll()[0]
 		r.now = r.now.Add(20 * time.Millisecond)
-		r.Unsure("w0", r.now)
+		r.Detached("w0", r.now)
 		r.HungUp("w0", true)
 		r.Attached("w0", Lists{Born: after}, r.now)
 		lost := r.LostRuns()
@@ -110,7 +110,7 @@
 		hear(r, after)
 		Expect(r.startAll()).To(HaveLen(1), "only the lost run starts again")
 		r.Listed("w0", Lists{Born: after, Running: []Running{row(starts[0])}, Finished: []Finished{end(1, starts[1], flow.EndDone)}}, r.now, r.now)
-		r.Listed("w0", Lists{Born: after, Finished: []Finished{end(2, starts[0], flow.EndDone)}, Cut: true}, r.now, r.now)
+		r.Listed("w0", Lists{Born: after, Finished: []Finished{end(2, starts[0], flow.EndDone)}, Truncated: true}, r.now, r.now)
 		Expect(r.startAll()).To(BeEmpty())
 	})
 
@@ -142,7 +142,7 @@
 		r := rigWithBorn()
 		r.heard("w0", func(w *Worker) { w.Born, w.Draining, w.Remaining = before, true, time.Second })
 		reborn(r, Lists{})
-		Expect(r.Left("w0")).To(BeFalse())
+		Expect(r.Drained("w0")).To(BeFalse())
 		hear(r, after)
 		r.add("a", one)
 		Expect(r.startAll()).To(HaveLen(1))
@@ -161,7 +161,7 @@
 		Expect(a.Asks).To(HaveLen(1))
 		Expect(a.Asks[0].Workers).To(Equal([]string{"w0"}))
 		reborn2 := func() {
-			r.Unsure("w0", r.now)
+			r.Detached("w0", r.now)
 			r.Attached("w0", Lists{Born: after + 1}, r.now)
 			hear(r, after+1)
 		}
@@ -204,7 +204,7 @@
 		r := newRig(1)
 		r.add("a", one)
 		s := r.startAll()[0]
-		r.Unsure("w0", r.now)
+		r.Detached("w0", r.now)
 		r.Attached("w0", Lists{Running: []Running{{Task: s.Task, Run: s.Run}}}, r.now)
 		Expect(r.startAll()).To(BeEmpty())
 		Expect(r.LostRuns()).To(BeEmpty())
--- a/cell/link_test.go
+++ b/cell/link_test.go
@@ -35,7 +35,7 @@
 		spec := &flow.Spec{ID: id, Queue: queue, Cell: "c", Hall: "h", Text: strings.Repeat("x", 700),
 			Steps: []flow.Step{{Count: tasks, Demand: sched.Vec{sched.Milli: 100, sched.MiB: 100}, EstimateMS: 1000}}}
 		c.Submit(spec, now, now)
-		c.Keep(id)
+		c.JobStored(id)
 	}
 	submit("batch", "batch", 130)
 	decided := make(map[string][]time.Duration)
@@ -43,7 +43,7 @@
 		if at >= 20*step && at < 21*step {
 			submit("call", "calls", 8)
 		}
-		c.SendMost(bytes, shared)
+		c.SetSendBudget(bytes, shared)
 		a := c.Place(now.Add(at), now.Add(at), 0)
 		for _, s := range a.Starts {
 			decided[s.Task.Job] = append(decided[s.Task.Job], at)
@@ -83,14 +83,14 @@
 		c.Configure([]Queue{{Name: "q", Pool: "p"}})
 		now := time.Unix(1000, 0)
 		c.Place(now, now, 0)
-		Expect(c.HeldBack()).To(BeFalse())
-		c.SendMost(0, false)
+		Expect(c.SendLimited()).To(BeFalse())
+		c.SetSendBudget(0, false)
 		c.Place(now, now, 0)
-		Expect(c.HeldBack()).To(BeFalse(), "nothing waits")
+		Expect(c.SendLimited()).To(BeFalse(), "nothing waits")
 		c.Submit(&flow.Spec{ID: "j", Queue: "q", Cell: "c", Steps: []flow.Step{{Count: 1}}}, now, now)
-		c.Keep("j")
+		c.JobStored("j")
 		c.Place(now, now, 0)
-		Expect(c.HeldBack()).To(BeTrue())
+		Expect(c.SendLimited()).To(BeTrue())
 	})
 })
 
@@ -102,9 +102,9 @@
 		c.Heard(Worker{ID: "w", Pool: "p", Hall: "h", Room: sched.Vec{sched.Milli: 1 << 30, sched.MiB: 1 << 30}}, now)
 		c.Attached("w", Lists{}, now)
 		c.Submit(&flow.Spec{ID: "j", Queue: "q", Cell: "c", Hall: "h", Steps: steps}, now, now)
-		c.Keep("j")
+		c.JobStored("j")
 		c.Place(now, now, 0)
-		return c.LookWithin("w")
+		return c.MaxPollWait("w")
 	}
 	long := flow.Step{Count: 1, EstimateMS: 60_000}
 
@@ -130,6 +130,6 @@
 	})
 
 	It("is frequent if the worker is not known", func() {
-		Expect(New(0).LookWithin("w")).To(Equal(minPollInterval))
+		Expect(New(0).MaxPollWait("w")).To(Equal(minPollInterval))
 	})
 })
--- a/cell/look.go
+++ b/cell/look.go
@@ -22,7 +22,7 @@
 
 // MaxPollWait returns how long a worker may wait for the end of a run before it has to answer a
 // poll with the progress of its runs.
-func (c *Cell) LookWithin(id string) time.Duration {
+func (c *Cell) MaxPollWait(id string) time.Duration {
 	w := c.workers[id]
 	if w == nil {
 		return minPollInterval
--- a/cell/over.go
+++ b/cell/over.go
@@ -11,7 +11,7 @@
 )
 
 // EndedJob is a job that has ended, without its tasks.
-type Over struct {
+type EndedJob struct {
 	ID    string
 	State flow.State
 	// Foreign means that the job belongs to another cell, which writes its end.
@@ -30,10 +30,10 @@
 
 // Ended returns the jobs that have ended since the last call. The caller archives their ends; for
 // jobs that did not succeed, only once State shows the end.
-func (c *Cell) Ended() []Over {
-	var out []Over
+func (c *Cell) Ended() []EndedJob {
+	var out []EndedJob
 	for _, j := range c.finished {
-		out = append(out, Over{ID: j.spec.ID, State: j.state, Foreign: j.share.Foreign()})
+		out = append(out, EndedJob{ID: j.spec.ID, State: j.state, Foreign: j.share.Foreign()})
 	}
 	c.finished = c.finished[:0]
 	return out
@@ -52,18 +52,18 @@
 
 // Retire forgets the tasks of jobs that are archived and ended longer than after ago. It returns
 // these jobs; their state is kept until Expire.
-func (c *Cell) Retire(after time.Duration, now time.Time) []Over {
-	var out []Over
+func (c *Cell) Retire(after time.Duration, now time.Time) []EndedJob {
+	var out []EndedJob
 	for id, j := range c.jobs {
 		if j.archived && j.storedState == j.state && !j.dirty && now.Sub(j.ended) > after {
-			out = append(out, Over{ID: id, State: j.state, Foreign: j.share.Foreign()})
+			out = append(out, EndedJob{ID: id, State: j.state, Foreign: j.share.Foreign()})
 			// Clients can see the end only once it is archived, so the time for which an operator
 			// lets them query it counts from now, whenever the job ended.
 			c.retired[id] = retiredJob{state: j.state, since: now, foreign: j.share.Foreign(), account: c.exclusiveAccount(j)}
 			delete(c.jobs, id)
 		}
 	}
-	slices.SortFunc(out, func(a, b Over) int { return strings.Compare(a.ID, b.ID) })
+	slices.SortFunc(out, func(a, b EndedJob) int { return strings.Compare(a.ID, b.ID) })
 	return out
 }
 
--- a/cell/owner_test.go
+++ b/cell/owner_test.go
@@ -33,7 +33,7 @@
 		r.heard("w9", func(*Worker) {})
 		r.Restore(spec, record("h"), r.now, r.now)
 		Expect(r.startAll()).To(BeEmpty())
-		r.Lapsed("w9", LossSilent, r.now)
+		r.WorkerLost("w9", LossSilent, r.now)
 		Expect(r.startAll()).To(HaveLen(1))
 	})
 
--- a/cell/place.go
+++ b/cell/place.go
@@ -26,7 +26,7 @@
 	Task         flow.TaskID
 	Run          int
 	Text         string
-	Saved        string
+	Checkpoint   string
 	Ticket       string
 }
 
@@ -364,7 +364,7 @@
 	c.noteChange(r, RunOrdered)
 	start := Start{
 		Worker: w.ID, Addr: w.Addr, Task: r.task(), Run: r.number,
-		Text: s.job.spec.Text, Saved: t.checkpoint, Ticket: ticket,
+		Text: s.job.spec.Text, Checkpoint: t.checkpoint, Ticket: ticket,
 	}
 	c.sendBudgetLeft -= c.sendSize(&start)
 	return start
@@ -375,7 +375,9 @@
 const startOverheadBytes = 450
 
 // Size returns the approximate size of the order on the wire, in bytes.
-func (s *Start) Size() int { return startOverheadBytes + len(s.Text) + len(s.Saved) + len(s.Ticket) }
+func (s *Start) Size() int {
+	return startOverheadBytes + len(s.Text) + len(s.Checkpoint) + len(s.Ticket)
+}
 
 // sendSize returns the approximate number of bytes that a start takes of this instance's link.
 func (c *Cell) sendSize(start *Start) int {
@@ -397,15 +399,15 @@
 // CarriedSize returns the approximate size, in bytes, of the order in a message to another instance
 // that carries it.
 func (s *Start) CarriedSize() int {
-	return carriedOverheadBytes + len(s.Text)/startsPerText + len(s.Saved) + len(s.Ticket)
+	return carriedOverheadBytes + len(s.Text)/startsPerText + len(s.Checkpoint) + len(s.Ticket)
 }
 
 // SetSendBudget sets how many bytes the orders of the next decision may take, and whether the
 // starts of a step share their text. Starts that would only queue at this instance's own link are
 // not decided, so that the most urgent task always goes first when there is room to send and no
 // answer is delayed by that queue. A gang is always sent whole.
-func (c *Cell) SendMost(bytes int, shared bool) { c.sendBudget, c.textShared = bytes, shared }
+func (c *Cell) SetSendBudget(bytes int, shared bool) { c.sendBudget, c.textShared = bytes, shared }
 
 // SendLimited reports whether the last decision left out starts because the send budget was used
 // up.
-func (c *Cell) HeldBack() bool { return c.sendLimited }
+func (c *Cell) SendLimited() bool { return c.sendLimited }
--- a/cell/replay_test.go
+++ b/cell/replay_test.go
@@ -127,7 +127,7 @@
 	r.arrivals[spec.ID] = j
 	r.events = append(r.events, replayEvent{at: j.at, order: len(r.events), do: func() {
 		r.Submit(spec, r.now, r.now)
-		r.after(replayStore, func() { r.Keep(spec.ID) })
+		r.after(replayStore, func() { r.JobStored(spec.ID) })
 	}})
 }
 
@@ -230,8 +230,8 @@
 	step := &j.spec.Steps[s.Task.Step]
 	w := r.workers[s.Worker]
 	length := time.Duration(float64(j.work) / w.speed)
-	if s.Saved != "" {
-		length = savedLeft(s.Saved) + replayRestore
+	if s.Checkpoint != "" {
+		length = savedLeft(s.Checkpoint) + replayRestore
 	}
 	run := &replayRun{w: w, start: s, step: step, begun: r.now, length: length}
 	w.runs[runKey{s.Task, s.Run}] = run
@@ -274,8 +274,8 @@
 	w := run.w
 	delete(w.runs, runKey{run.start.Task, run.start.Run})
 	w.ends++
-	f := Finished{Number: w.ends, Task: run.start.Task, Run: run.start.Run, How: how, Saved: saved}
-	r.Listed(w.id, Lists{Finished: []Finished{f}, Cut: true}, r.now, r.now)
+	f := Finished{Number: w.ends, Task: run.start.Task, Run: run.start.Run, How: how, Checkpoint: saved}
+	r.Listed(w.id, Lists{Finished: []Finished{f}, Truncated: true}, r.now, r.now)
 }
 
 func (r *replay) stopped(s Stop) {
--- a/cell/reserve_test.go
+++ b/cell/reserve_test.go
@@ -22,7 +22,7 @@
 	submit := func(r *rig, id, queue string, step flow.Step) {
 		step.EstimateMS = estimate
 		r.Submit(&flow.Spec{ID: id, Queue: queue, Hall: "h", Steps: []flow.Step{step}}, r.now, r.now)
-		r.Keep(id)
+		r.JobStored(id)
 	}
 	small := flow.Step{Count: 4, Demand: demand(1000), Checkpoints: true}
 	large := flow.Step{Count: 1, Demand: demand(4000)}
@@ -55,7 +55,7 @@
 	It("has nothing stopped where room comes free just as soon", func() {
 		r, starts := full("later", small)
 		for _, s := range starts {
-			r.Listed(s.Worker, Lists{Running: []Running{{Task: s.Task, Run: s.Run, Percent: 50}}, Cut: true}, r.now, r.now)
+			r.Listed(s.Worker, Lists{Running: []Running{{Task: s.Task, Run: s.Run, Percent: 50}}, Truncated: true}, r.now, r.now)
 		}
 		r.now = r.now.Add(estimate*time.Millisecond - minYieldGain)
 		submit(r, "b", "q", large)
--- a/cell/save.go
+++ b/cell/save.go
@@ -11,15 +11,15 @@
 
 // Save is a job record for the store to write.
 type Save struct {
-	ID     string
-	Record *flow.Record
-	Story  Story
+	ID      string
+	Record  *flow.Record
+	History JobHistory
 	// Foreign means that the job belongs to another cell.
 	Foreign bool
 }
 
 // JobHistory is what this owner has seen of a job, for finding out why it was late.
-type Story struct {
+type JobHistory struct {
 	// Began is the time from the job's acceptance until its first task was started here.
 	Began time.Duration
 	// Took is the time from the job's acceptance until its end.
@@ -38,7 +38,7 @@
 	saves := make([]Save, 0, n)
 	for _, j := range c.dirty[:n] {
 		j.dirty = false
-		saves = append(saves, Save{ID: j.spec.ID, Record: j.record(), Story: j.history, Foreign: j.share.Foreign()})
+		saves = append(saves, Save{ID: j.spec.ID, Record: j.record(), History: j.history, Foreign: j.share.Foreign()})
 	}
 	c.dirty = append(c.dirty[:0], c.dirty[n:]...)
 	if len(c.dirty) == 0 {
--- a/cell/seek_test.go
+++ b/cell/seek_test.go
@@ -28,7 +28,7 @@
 	g.Expect(first).To(HaveLen(2))
 	g.Expect(first[0].Worker).To(Equal(first[1].Worker))
 	r.now = r.now.Add(time.Minute)
-	r.Unsure(first[0].Worker, r.now)
+	r.Detached(first[0].Worker, r.now)
 	leaseEnd := r.now.Add(lease)
 	r.LeaseEnds(first[0].Worker, leaseEnd)
 	r.now = leaseEnd.Add(-leaseEndLead - 100*time.Millisecond)
@@ -41,7 +41,7 @@
 	r.Advised(asks[0], both, valid, r.now)
 	g.Expect(r.place().Asks).To(BeEmpty(), "one permitted worker with room is enough")
 	r.now = leaseEnd.Add(10 * time.Millisecond)
-	r.Lapsed(first[0].Worker, LossSilent, r.now)
+	r.WorkerLost(first[0].Worker, LossSilent, r.now)
 	starts := r.place().Starts
 	g.Expect(starts).To(HaveLen(1))
 	g.Expect(starts[0].Task.Job).To(Equal("j"))
--- a/cell/stop.go
+++ b/cell/stop.go
@@ -35,7 +35,7 @@
 
 // RunsNeedCheck reports whether there may be runs to stop that the last decision has not
 // considered.
-func (c *Cell) Restless() bool { return c.runsNeedCheck }
+func (c *Cell) RunsNeedCheck() bool { return c.runsNeedCheck }
 
 // decideStops stops runs that are no longer wanted, that stall, or that have to move.
 func (c *Cell) decideStops(a *Actions, now time.Time) {
--- a/cell/unkept.go
+++ b/cell/unkept.go
@@ -27,7 +27,7 @@
 
 // UnstoredSuccesses returns the ids of at most so many jobs that have succeeded, are not known to
 // be stored, and are to be reported to other instances now.
-func (c *Cell) Unkept(limit int, now time.Time) []string {
+func (c *Cell) UnstoredSuccesses(limit int, now time.Time) []string {
 	var out []string
 	for id, j := range c.unstoredSuccesses {
 		age := now.Sub(j.ended)
@@ -42,8 +42,8 @@
 	return out[:min(len(out), limit)]
 }
 
-// Shared reports to the cell that another instance knows that these jobs have succeeded.
-func (c *Cell) Shared(ids []string) {
+// SuccessShared reports to the cell that another instance knows that these jobs have succeeded.
+func (c *Cell) SuccessShared(ids []string) {
 	for _, id := range ids {
 		if j := c.unstoredSuccesses[id]; j != nil {
 			j.successShared = true
--- a/cell/unkept_test.go
+++ b/cell/unkept_test.go
@@ -29,28 +29,28 @@
 
 	It("is reported to other instances when the store takes longer than usual, and shown once one knows", func() {
 		r := ended(flow.EndDone)
-		Expect(r.Unkept(10, r.now)).To(BeEmpty(), "the store will have it in a moment")
+		Expect(r.UnstoredSuccesses(10, r.now)).To(BeEmpty(), "the store will have it in a moment")
 		late := r.now.Add(minUnstoredAge)
-		Expect(r.Unkept(10, late)).To(Equal([]string{"j"}))
-		Expect(r.Unkept(0, late)).To(BeEmpty())
+		Expect(r.UnstoredSuccesses(10, late)).To(Equal([]string{"j"}))
+		Expect(r.UnstoredSuccesses(0, late)).To(BeEmpty())
 		Expect(state(r)).To(Equal(flow.Running), "no other instance knows")
-		r.Shared([]string{"j", "unknown"})
+		r.SuccessShared([]string{"j", "unknown"})
 		Expect(state(r)).To(Equal(flow.Succeeded))
 	})
 
 	It("is reported for a while, and longer until an instance knows", func() {
 		r := ended(flow.EndDone)
 		late := r.now.Add(maxUnstoredAge)
-		Expect(r.Unkept(10, late)).To(HaveLen(1))
-		r.Shared([]string{"j"})
-		Expect(r.Unkept(10, late)).To(BeEmpty())
+		Expect(r.UnstoredSuccesses(10, late)).To(HaveLen(1))
+		r.SuccessShared([]string{"j"})
+		Expect(r.UnstoredSuccesses(10, late)).To(BeEmpty())
 		Expect(state(r)).To(Equal(flow.Succeeded))
 	})
 
 	It("is not reported once the store has it", func() {
 		r := ended(flow.EndDone)
 		r.save()
-		Expect(r.Unkept(10, r.now.Add(minUnstoredAge))).To(BeEmpty())
+		Expect(r.UnstoredSuccesses(10, r.now.Add(minUnstoredAge))).To(BeEmpty())
 		Expect(r.unstoredSuccesses).To(BeEmpty())
 	})
 
@@ -58,8 +58,8 @@
 		r := newRig(1)
 		r.add("j", flow.Step{Count: 1, Demand: demand(1000)})
 		r.Cancel("j", r.now)
-		Expect(r.Unkept(10, r.now.Add(time.Second))).To(BeEmpty())
-		r.Shared([]string{"j"})
+		Expect(r.UnstoredSuccesses(10, r.now.Add(time.Second))).To(BeEmpty())
+		r.SuccessShared([]string{"j"})
 		Expect(state(r)).To(Equal(flow.Pending))
 	})
 
@@ -70,6 +70,6 @@
 		r.Succeeded([]string{"j", "unknown"}, r.now)
 		Expect(state(r)).To(Equal(flow.Succeeded))
 		Expect(r.startAll()).To(BeEmpty())
-		Expect(r.Ended()).To(Equal([]Over{{ID: "j", State: flow.Succeeded}}), "so that it is archived")
+		Expect(r.Ended()).To(Equal([]EndedJob{{ID: "j", State: flow.Succeeded}}), "so that it is archived")
 	})
 })
--- a/cell/wait.go
+++ b/cell/wait.go
@@ -46,15 +46,15 @@
 	Reserved int
 	// Asks counts the questions to the policy in flight, LongAsks the long ones among them, and
 	// MaxAsks is the limit. Asking means that one is about this step.
-	Asks, LongAsks, AsksMost int
-	Asking                   bool
+	Asks, LongAsks, MaxAsks int
+	Asking                  bool
 	// Allowed are the workers that may run the step now, Expired those whose tickets have expired,
 	// Unfit those that the policy does not permit, and Unasked those that it was not asked about.
 	Allowed, Expired, Unfit, Unasked Candidates
 	// Account is the use of the cell by the job's client account, and BeyondShare means that the
 	// job exceeded the account's share on arrival.
-	Account AccountUse
-	Beyond  bool
+	Account     AccountUse
+	BeyondShare bool
 }
 
 // Candidates counts workers of a step's pool that have what the step needs.
@@ -75,8 +75,8 @@
 		why = c.noWorkerReason(s, now)
 	}
 	w := Wait{Step: s.id(), Why: why, Tasks: s.waiting, For: waited, Reserved: len(s.reservation.workers),
-		Asks: c.asks, LongAsks: c.longAsks, AsksMost: c.maxAsks, Asking: s.advice.asking,
-		Account: s.job.account.usage(), Beyond: s.job.beyondShare}
+		Asks: c.asks, LongAsks: c.longAsks, MaxAsks: c.maxAsks, Asking: s.advice.asking,
+		Account: s.job.account.usage(), BeyondShare: s.job.beyondShare}
 	c.countCandidates(s, &w, now)
 	a.Waits = append(a.Waits, w)
 }
--- a/cell/worker.go
+++ b/cell/worker.go
@@ -79,10 +79,10 @@
 
 // Running is a run as its worker lists it.
 type Running struct {
-	Task    flow.TaskID
-	Run     int
-	Saved   string
-	Percent int
+	Task       flow.TaskID
+	Run        int
+	Checkpoint string
+	Percent    int
 	// Tail is the worker's fifth figure of the run: the tail latency in milliseconds of a serving
 	// task, otherwise the processor time in use.
 	Tail int64
@@ -91,11 +91,11 @@
 // Finished is the end of a run as its worker lists it.
 type Finished struct {
 	// Number increases by one with each end within one incarnation of a worker.
-	Number int
-	Task   flow.TaskID
-	Run    int
-	How    flow.End
-	Saved  string
+	Number     int
+	Task       flow.TaskID
+	Run        int
+	How        flow.End
+	Checkpoint string
 }
 
 // Lists are a worker's lists of its runs and their ends.
@@ -106,7 +106,7 @@
 	Running  []Running
 	Finished []Finished
 	// Truncated means that there were more ends than the worker lists at once.
-	Cut bool
+	Truncated bool
 }
 
 // Heard updates the cell from a worker's entry.
@@ -152,9 +152,9 @@
 	return w.attached && !w.silent && !w.leaving() && !w.Gone && w.unknownRuns == 0 && w.described()
 }
 
-// Missing reports to the cell that a worker's entry has been missing for too long to place anything
+// EntryMissing reports to the cell that a worker's entry has been missing for too long to place anything
 // there.
-func (c *Cell) Missing(id string) {
+func (c *Cell) EntryMissing(id string) {
 	if w := c.workers[id]; w != nil {
 		w.Gone = true
 	}
@@ -166,7 +166,7 @@
 	if w == nil {
 		return
 	}
-	c.Lapsed(id, how, now)
+	c.WorkerLost(id, how, now)
 	// Callers that still hold w must not place anything there.
 	w.Gone = true
 	delete(c.workers, id)
@@ -175,7 +175,7 @@
 
 // WorkerLost reports to the cell that nothing can be running on a worker any more: its leases have
 // expired or a new incarnation has replaced it.
-func (c *Cell) Lapsed(id string, how Loss, now time.Time) {
+func (c *Cell) WorkerLost(id string, how Loss, now time.Time) {
 	if w := c.workers[id]; w != nil {
 		c.loseRuns(w, how, now)
 	}
@@ -206,7 +206,7 @@
 
 // Detached reports to the cell that the answer to an order was lost: nothing is placed on the
 // worker until it is attached again.
-func (c *Cell) Unsure(id string, now time.Time) {
+func (c *Cell) Detached(id string, now time.Time) {
 	if w := c.workers[id]; w != nil && w.attached {
 		w.attached = false
 		w.detachedSince = now
@@ -221,7 +221,7 @@
 
 // Drained reports whether a leaving worker has nothing more to do: it is attached and runs nothing,
 // all its ends are stored, and it is given nothing more.
-func (c *Cell) Left(id string) bool {
+func (c *Cell) Drained(id string) bool {
 	w := c.workers[id]
 	return w != nil && w.Draining && w.attached && len(w.runs) == 0 && w.seenEnd == w.observedEnd
 }
@@ -234,7 +234,7 @@
 	}
 	var out []Running
 	for _, r := range w.runList {
-		out = append(out, Running{Task: r.task(), Run: r.number, Saved: r.checkpoint, Percent: r.percent, Tail: r.tail})
+		out = append(out, Running{Task: r.task(), Run: r.number, Checkpoint: r.checkpoint, Percent: r.percent, Tail: r.tail})
 	}
 	return out
 }
@@ -270,7 +270,7 @@
 			// The last order to set its pace may have been lost.
 			r.throttlePercent = -1
 		}
-		if r.confirmedAt.IsZero() && !l.Cut {
+		if r.confirmedAt.IsZero() && !l.Truncated {
 			c.noteChange(r, RunNotBegun)
 			c.removeRun(r)
 			c.requeue(r.stage, r.index, r.checkpoint, now)
@@ -289,7 +289,7 @@
 	}
 	turn := c.takeLists(w, l, now)
 	for _, r := range slices.Clone(w.runList) {
-		if r.listSeq != turn && !l.Cut && !r.confirmedAt.IsZero() && r.confirmedAt.Before(sent) {
+		if r.listSeq != turn && !l.Truncated && !r.confirmedAt.IsZero() && r.confirmedAt.Before(sent) {
 			c.lostRuns = append(c.lostRuns, r.lostRun(LossMissing, now))
 			c.counts.Lapsed++
 			c.noteChange(r, RunMissing)
@@ -374,8 +374,8 @@
 		r.percent = row.Percent
 		r.lastProgress = now
 	}
-	if row.Saved != "" {
-		r.checkpoint = row.Saved
+	if row.Checkpoint != "" {
+		r.checkpoint = row.Checkpoint
 	}
 }
 
--- a/cluster/carry.go
+++ b/cluster/carry.go
@@ -144,15 +144,15 @@
 	if err := wire.ErrorOf(m.GetError()); err != nil {
 		return driver.HoldAnswer{}, err
 	}
-	a := driver.HoldAnswer{ClockMS: m.GetClockMs(), Lists: cell.Lists{Born: m.GetBornMs(), Cut: m.GetCut()}, Brief: m.GetBrief()}
+	a := driver.HoldAnswer{ClockMS: m.GetClockMs(), Lists: cell.Lists{Born: m.GetBornMs(), Truncated: m.GetCut()}, Brief: m.GetBrief()}
 	for _, r := range m.GetRunning() {
 		a.Lists.Running = append(a.Lists.Running, cell.Running{
-			Task: taskID(r.Task), Run: int(r.Run), Saved: r.Saved, Percent: int(r.Percent), Tail: r.Tail,
+			Task: taskID(r.Task), Run: int(r.Run), Checkpoint: r.Saved, Percent: int(r.Percent), Tail: r.Tail,
 		})
 	}
 	for _, f := range m.GetFinished() {
 		a.Lists.Finished = append(a.Lists.Finished, cell.Finished{
-			Number: int(f.Number), Task: taskID(f.Task), Run: int(f.Run), How: flow.End(f.How), Saved: f.Saved,
+			Number: int(f.Number), Task: taskID(f.Task), Run: int(f.Run), How: flow.End(f.How), Checkpoint: f.Saved,
 		})
 	}
 	return a, nil
@@ -176,7 +176,7 @@
 		Observed: int(m.Observed), UntilMS: m.UntilMs, Wait: wait,
 	})
 	out := &wire.HoldResult{
-		Error: wire.ToError(err), ClockMs: a.ClockMS, BornMs: a.Lists.Born, Cut: a.Lists.Cut, Brief: m.Brief && len(a.Lists.Finished) > 0,
+		Error: wire.ToError(err), ClockMs: a.ClockMS, BornMs: a.Lists.Born, Cut: a.Lists.Truncated, Brief: m.Brief && len(a.Lists.Finished) > 0,
 	}
 	for i := range a.Lists.Running {
 		if out.Brief {
@@ -184,13 +184,13 @@
 		}
 		r := &a.Lists.Running[i]
 		out.Running = append(out.Running, &wire.RunningRow{
-			Task: taskName(r.Task), Run: uint64(r.Run), Saved: r.Saved, Percent: int32(r.Percent), Tail: r.Tail,
+			Task: taskName(r.Task), Run: uint64(r.Run), Saved: r.Checkpoint, Percent: int32(r.Percent), Tail: r.Tail,
 		})
 	}
 	for i := range a.Lists.Finished {
 		f := &a.Lists.Finished[i]
 		out.Finished = append(out.Finished, &wire.FinishedRow{
-			Number: uint64(f.Number), Task: taskName(f.Task), Run: uint64(f.Run), How: string(f.How), Saved: f.Saved,
+			Number: uint64(f.Number), Task: taskName(f.Task), Run: uint64(f.Run), How: string(f.How), Saved: f.Checkpoint,
 		})
 	}
 	return &wire.Reply{Body: &wire.Reply_Hold{Hold: out}}
--- a/cluster/carry_test.go
+++ b/cluster/carry_test.go
@@ -43,8 +43,8 @@
 	if o.Worker == "gone" {
 		return driver.HoldAnswer{}, kind.New(kind.NotFound, "another life")
 	}
-	run := cell.Running{Task: flow.TaskID{Job: "j", Time: 1, Step: 2, Index: 3}, Run: 4, Saved: "s", Percent: 50, Tail: 9}
-	return driver.HoldAnswer{ClockMS: 7, Lists: cell.Lists{Running: []cell.Running{run}, Finished: w.finished, Cut: true}}, nil
+	run := cell.Running{Task: flow.TaskID{Job: "j", Time: 1, Step: 2, Index: 3}, Run: 4, Checkpoint: "s", Percent: 50, Tail: 9}
+	return driver.HoldAnswer{ClockMS: 7, Lists: cell.Lists{Running: []cell.Running{run}, Finished: w.finished, Truncated: true}}, nil
 }
 
 // sendToRelay has the relay n handle orders as they arrive from the network.
@@ -101,10 +101,10 @@
 		a, err := hold("good", true)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(a.Brief).To(BeFalse())
-		Expect(a.Lists.Cut).To(BeTrue())
+		Expect(a.Lists.Truncated).To(BeTrue())
 		Expect(a.ClockMS).To(Equal(int64(7)))
-		Expect(a.Lists.Running).To(Equal([]cell.Running{{Task: flow.TaskID{Job: "j", Time: 1, Step: 2, Index: 3}, Run: 4, Saved: "s", Percent: 50, Tail: 9}}))
-		w.finished = []cell.Finished{{Number: 3, Task: flow.TaskID{Job: "j"}, Run: 2, How: flow.EndDone, Saved: "x"}}
+		Expect(a.Lists.Running).To(Equal([]cell.Running{{Task: flow.TaskID{Job: "j", Time: 1, Step: 2, Index: 3}, Run: 4, Checkpoint: "s", Percent: 50, Tail: 9}}))
+		w.finished = []cell.Finished{{Number: 3, Task: flow.TaskID{Job: "j"}, Run: 2, How: flow.EndDone, Checkpoint: "x"}}
 		a, err = hold("good", false)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(a.Lists.Running).To(HaveLen(1))
--- a/config/account.go
+++ b/config/account.go
@@ -82,7 +82,7 @@
 			continue
 		}
 		for i := range spec.Steps {
-			if st := &spec.Steps[i]; st.Gang && !a.Holds(st.Demand.Scale(int64(st.Count))) {
+			if st := &spec.Steps[i]; st.Gang && !a.LimitCovers(st.Demand.Scale(int64(st.Count))) {
 				return kind.At(kind.BadRequest, "/steps", "a gang exceeds the limit of the client account")
 			}
 		}
--- a/driver/carry.go
+++ b/driver/carry.go
@@ -129,7 +129,7 @@
 	}
 	o := StartOrder{
 		Target: Target{Worker: s.Worker, Addr: l.addr, Fence: l.fence},
-		Task:   s.Task, Run: s.Run, Text: s.Text, Saved: s.Saved, Ticket: s.Ticket,
+		Task:   s.Task, Run: s.Run, Text: s.Text, Saved: s.Checkpoint, Ticket: s.Ticket,
 		UntilMS: d.newLeaseEnd(l, now),
 	}
 	level.Debug(d.Log).Log("event", "start", "job", s.Task.Job, "step", s.Task.Step, "index", s.Task.Index, "run", s.Run, "worker", s.Worker, "fence", o.Fence)
@@ -148,7 +148,7 @@
 
 // sizedStart returns the parts of a start that determine its size.
 func (o *pendingStart) sizedStart() cell.Start {
-	return cell.Start{Text: o.Text, Saved: o.Saved, Ticket: o.Ticket}
+	return cell.Start{Text: o.Text, Checkpoint: o.Saved, Ticket: o.Ticket}
 }
 
 // sendStart sends one order and applies its result.
@@ -216,7 +216,7 @@
 // sendFinished notes that a message with start orders is no longer in flight, and returns for how
 // long it probably queued, if it was answered. The lock is held.
 func (d *Driver) sendFinished(size int, took time.Duration, lost bool) time.Duration {
-	if d.cell.HeldBack() {
+	if d.cell.SendLimited() {
 		notify(d.placeNow)
 	}
 	now := clock.Now()
--- a/driver/carry_test.go
+++ b/driver/carry_test.go
@@ -231,7 +231,7 @@
 		d.cell.Heard(cell.Worker{ID: "w", Pool: "p", Hall: "h", Room: sched.Vec{sched.Milli: 1000, sched.MiB: 1000}}, now)
 		d.cell.Attached("w", cell.Lists{}, now)
 		d.cell.Submit(&flow.Spec{ID: "0", Cell: "c", Queue: "q", Hall: "h", Steps: []flow.Step{{Count: 1}}}, now, now)
-		d.cell.Keep("0")
+		d.cell.JobStored("0")
 		Expect(d.cell.Place(now, now, 0).Starts).To(HaveLen(1))
 		d.links["w"] = &link{id: "w", fence: 7, attached: true, retryNow: make(chan struct{}, 1), cancel: func() {}}
 		return d
@@ -293,7 +293,7 @@
 		l, now := &link{}, time.Now()
 		l.answerTimes.Answered(4 * time.Millisecond)
 		Expect(d.orderTimeout(l, now)).To(Equal(minOrderTimeout))
-		Expect(d.holdWait(l, now)).To(Equal(d.cell.LookWithin(l.id)))
+		Expect(d.holdWait(l, now)).To(Equal(d.cell.MaxPollWait(l.id)))
 		for _, w := range []string{"a", "b", "c"} {
 			d.lateness.Saw(w, 200*time.Millisecond, now)
 		}
--- a/driver/commit.go
+++ b/driver/commit.go
@@ -155,18 +155,18 @@
 func (d *Driver) logEnded(saves []cell.Save) {
 	for _, s := range saves {
 		if s.Record.State.Final() && s.Foreign {
-			level.Info(d.Log).Log("event", "share_ended", "job", s.ID, "cell", d.Name, "epoch", d.Claim.Epoch(), "state", s.Record.State, "runs", s.Story.Runs)
+			level.Info(d.Log).Log("event", "share_ended", "job", s.ID, "cell", d.Name, "epoch", d.Claim.Epoch(), "state", s.Record.State, "runs", s.History.Runs)
 			continue
 		}
 		if s.Record.State.Final() {
-			if s.Story.Began > 0 {
-				d.Scope.Histogram("job_began_seconds", telemetry.Latency()).RecordDuration(s.Story.Began)
+			if s.History.Began > 0 {
+				d.Scope.Histogram("job_began_seconds", telemetry.Latency()).RecordDuration(s.History.Began)
 			}
-			d.Scope.Histogram("job_took_seconds", telemetry.Latency()).RecordDuration(s.Story.Took)
+			d.Scope.Histogram("job_took_seconds", telemetry.Latency()).RecordDuration(s.History.Took)
 			d.Scope.Tagged(map[string]string{"state": string(s.Record.State)}).Counter("jobs_ended_total").Inc(1)
 			level.Info(d.Log).Log("event", "job_ended", "job", s.ID, "state", s.Record.State, "epoch", d.Claim.Epoch(),
-				"began_ms", s.Story.Began.Milliseconds(), "took_ms", s.Story.Took.Milliseconds(),
-				"runs", s.Story.Runs, "failed", s.Story.Failed, "lost", s.Story.Lost, "yields", s.Story.Yields, "last", true)
+				"began_ms", s.History.Began.Milliseconds(), "took_ms", s.History.Took.Milliseconds(),
+				"runs", s.History.Runs, "failed", s.History.Failed, "lost", s.History.Lost, "yields", s.History.Yields, "last", true)
 		}
 	}
 }
--- a/driver/driver.go
+++ b/driver/driver.go
@@ -81,7 +81,7 @@
 	staleRecords []string
 	archives     archives
 	// unarchived holds the jobs that have ended and whose end is not archived yet.
-	unarchived []cell.Over
+	unarchived []cell.EndedJob
 	frozen     bool
 	loaded     bool
 	// scannedVer is the version of the store up to which the jobs have been read.
@@ -389,11 +389,11 @@
 			d.cell.LeaseEnds(id, l.leasesEnd)
 		}
 	}
-	if d.cell.HeldBack() {
+	if d.cell.SendLimited() {
 		d.throttledAt = now
 	}
 	carried := d.carrying(now)
-	d.cell.SendMost(d.startWindow.Free(), carried)
+	d.cell.SetSendBudget(d.startWindow.Free(), carried)
 	a := d.cell.Place(now, clock.Wall(), d.Callers())
 	d.sendStarts(a.Starts, carried)
 	for i := range a.Stops {
@@ -411,7 +411,7 @@
 		d.spawn(func() { d.askPolicy(ask) })
 	}
 	d.archiveEnded()
-	if d.cell.Restless() {
+	if d.cell.RunsNeedCheck() {
 		// Some runs have to yield: they are stopped by the next decision.
 		notify(d.placeNow)
 	}
--- a/driver/empty.go
+++ b/driver/empty.go
@@ -15,7 +15,7 @@
 // Empty implements upkeep.Cell.
 func (d *Driver) Empty(workers []string, patience time.Duration) {
 	d.mu.Lock()
-	d.cell.Empty(workers, patience, clock.Now())
+	d.cell.Evacuate(workers, patience, clock.Now())
 	d.mu.Unlock()
 	notify(d.placeNow)
 }
@@ -25,7 +25,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := clock.Now()
-	return d.loaded && !d.frozen && d.mayOrder(now) && d.cell.Emptied(worker, now)
+	return d.loaded && !d.frozen && d.mayOrder(now) && d.cell.Evacuated(worker, now)
 }
 
 // Life implements upkeep.Cell.
--- a/driver/events.go
+++ b/driver/events.go
@@ -19,14 +19,14 @@
 		w := &waits[i]
 		level.Info(d.Log).Log("event", "step_waits", "job", w.Step.Job, "step", w.Step.Step, "why", string(w.Why),
 			"tasks", w.Tasks, "waited_ms", w.For.Milliseconds(), "reserved", w.Reserved,
-			"asking", w.Asking, "asks", w.Asks, "asks_long", w.LongAsks, "asks_most", w.AsksMost,
+			"asking", w.Asking, "asks", w.Asks, "asks_long", w.LongAsks, "asks_most", w.MaxAsks,
 			"allowed", w.Allowed.All, "allowed_room", w.Allowed.Room, "allowed_yield", w.Allowed.Yield,
 			"expired", w.Expired.All, "expired_room", w.Expired.Room, "expired_yield", w.Expired.Yield,
 			"unasked", w.Unasked.All, "unasked_room", w.Unasked.Room, "unasked_yield", w.Unasked.Yield,
 			"unfit", w.Unfit.All, "unfit_room", w.Unfit.Room,
-			"account", w.Account.Name, "beyond_share", w.Beyond,
-			"account_cpu", w.Account.Used[sched.Milli], "maybe_cpu", w.Account.Maybe[sched.Milli], "limit_cpu", w.Account.Limit[sched.Milli],
-			"account_mem", w.Account.Used[sched.MiB], "maybe_mem", w.Account.Maybe[sched.MiB], "limit_mem", w.Account.Limit[sched.MiB])
+			"account", w.Account.Name, "beyond_share", w.BeyondShare,
+			"account_cpu", w.Account.Used[sched.Milli], "maybe_cpu", w.Account.PossiblyUsed[sched.Milli], "limit_cpu", w.Account.Limit[sched.Milli],
+			"account_mem", w.Account.Used[sched.MiB], "maybe_mem", w.Account.PossiblyUsed[sched.MiB], "limit_mem", w.Account.Limit[sched.MiB])
 	}
 }
 
@@ -74,7 +74,7 @@
 			"run", r.Run, "worker", r.Worker, "loss", string(r.Loss), "began", r.Began, "age_ms", r.Age.Milliseconds(),
 			"beside", r.Beside, "leaving", r.Leaving, "blame", string(r.Blame), "crashes", r.Crashes)
 	}
-	for _, g := range d.cell.GivenUps() {
+	for _, g := range d.cell.GivenUpTasks() {
 		d.Scope.Counter("tasks_given_up_total").Inc(1)
 		level.Warn(d.Log).Log("event", "task_given_up", "job", g.Task.Job, "step", g.Task.Step, "index", g.Task.Index,
 			"crashes", string(flow.Encode(g.Crashes)))
--- a/driver/foreign_test.go
+++ b/driver/foreign_test.go
@@ -42,7 +42,7 @@
 		d.cell.Attached("w", cell.Lists{}, now)
 		step := flow.Step{Count: 2, Demand: sched.Vec{sched.Milli: 800}}
 		d.cell.Submit(&flow.Spec{ID: "0", Cell: "c", Queue: "q", Hall: "h", Steps: []flow.Step{step}}, now, now)
-		d.cell.Keep("0")
+		d.cell.JobStored("0")
 		return d
 	}
 
--- a/driver/hold.go
+++ b/driver/hold.go
@@ -125,7 +125,7 @@
 // holdWait returns for how long a worker may delay its answer to a long poll. The time grows while
 // answers are late on this side, since the link can do without long polls first. The lock is held.
 func (d *Driver) holdWait(l *link, now time.Time) time.Duration {
-	wait := d.cell.LookWithin(l.id)
+	wait := d.cell.MaxPollWait(l.id)
 	late := d.lateness.By(now)
 	return min(wait+wait*time.Duration(late/latenessStep), max(wait, maxHoldWait))
 }
@@ -235,7 +235,7 @@
 func (d *Driver) relist(l *link) {
 	d.workerListChanged = true
 	if !l.missingSince.IsZero() {
-		d.cell.Missing(l.id)
+		d.cell.EntryMissing(l.id)
 	}
 }
 
@@ -290,7 +290,7 @@
 	if l.attached {
 		level.Info(d.Log).Log("event", "worker_unreachable", "worker", l.id, "err", err)
 	}
-	d.cell.Unsure(l.id, now)
+	d.cell.Detached(l.id, now)
 	if closedByPeer(err) {
 		d.cell.HungUp(l.id, l.attached && !errors.Is(err, syscall.ECONNREFUSED))
 	}
@@ -299,7 +299,7 @@
 		l.lapsed = true
 		d.Scope.Counter("leases_over_total").Inc(1)
 		d.logLeaseOver(l, now)
-		d.cell.Lapsed(l.id, lossCause(err), now)
+		d.cell.WorkerLost(l.id, lossCause(err), now)
 		notify(d.placeNow)
 	}
 	if l.lapsed && !l.missingSince.IsZero() && now.Sub(l.missingSince) > missingGrace {
--- a/driver/link.go
+++ b/driver/link.go
@@ -181,7 +181,7 @@
 	if l == nil || !l.attached {
 		return
 	}
-	d.cell.Unsure(id, clock.Now())
+	d.cell.Detached(id, clock.Now())
 	l.attached = false
 	if l.rehold != nil {
 		l.rehold()
--- a/driver/scan.go
+++ b/driver/scan.go
@@ -46,7 +46,7 @@
 // addJob adds a job that no former owner can have started. The lock is held.
 func (d *Driver) addJob(spec *flow.Spec, now time.Time) {
 	d.cell.Submit(spec, arrivedAt(spec, now), now)
-	d.cell.Keep(spec.ID)
+	d.cell.JobStored(spec.ID)
 }
 
 // arrivedAt returns when a job was accepted, by this instance's monotonic clock.
--- a/driver/share.go
+++ b/driver/share.go
@@ -72,8 +72,8 @@
 }
 
 // ownJobs returns the jobs whose end this cell writes.
-func ownJobs(all []cell.Over) []cell.Over {
-	var out []cell.Over
+func ownJobs(all []cell.EndedJob) []cell.EndedJob {
+	var out []cell.EndedJob
 	for _, o := range all {
 		if !o.Foreign {
 			out = append(out, o)
--- a/driver/unkept.go
+++ b/driver/unkept.go
@@ -20,14 +20,14 @@
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.cell.Unkept(maxUnsavedSuccesses, now)
+	return d.cell.UnstoredSuccesses(maxUnsavedSuccesses, now)
 }
 
 // Shared notes that another instance knows that these jobs have succeeded.
 func (d *Driver) Shared(ids []string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.cell.Shared(ids)
+	d.cell.SuccessShared(ids)
 }
 
 // Heard applies reports that jobs succeeded under former owners.
--- a/driver/watch.go
+++ b/driver/watch.go
@@ -193,7 +193,7 @@
 	}
 	if l != nil && e.Ver >= l.entryVer {
 		d.entryMissing(l, now)
-		d.cell.Missing(l.id)
+		d.cell.EntryMissing(l.id)
 	}
 }
 
@@ -203,6 +203,6 @@
 	case l.missingSince.IsZero():
 		l.missingSince = now
 	case now.Sub(l.missingSince) > missingGrace:
-		d.cell.Missing(l.id)
+		d.cell.EntryMissing(l.id)
 	}
 }
