--- a/claim/claim.go
+++ b/claim/claim.go
@@ -31,25 +31,25 @@
 
 // An owner may send orders to workers for a while after its last write, and the lease states for
 // how long (its validity). Another instance may take the lease only once it has not been written
-// for the validity plus Margin. The validity lies between ValidLeast and ValidMost and grows with
-// the time that writes take. ValidLeast is twice the write interval of a live owner; after an owner
+// for the validity plus TakeoverMargin. The validity lies between MinValidity and MaxValidity and grows with
+// the time that writes take. MinValidity is twice the write interval of a live owner; after an owner
 // fails, nothing starts for at least that long.
 const (
-	ValidLeast = 400 * time.Millisecond
-	ValidMost  = 2 * time.Second
-	Margin     = 150 * time.Millisecond
+	MinValidity    = 400 * time.Millisecond
+	MaxValidity    = 2 * time.Second
+	TakeoverMargin = 150 * time.Millisecond
 	// writesPerValidity is the validity in multiples of the duration of the last write.
 	writesPerValidity = 3
 )
 
-// AbsentWait is the extra time for which an instance that the lease names as absent must wait
+// AbsentTakeoverDelay is the extra time for which an instance that the lease names as absent must wait
 // before it takes the lease. For as long, an owner without access to the store may go on although
 // the absent instances do not answer it: before this, an instance that was lost shortly before a
 // store outage blocked all orders for the length of the outage (4.2 s).
-const AbsentWait = 8 * time.Second
+const AbsentTakeoverDelay = 8 * time.Second
 
-// Silence is how long a lease that states no validity may go unwritten before it may be taken.
-const Silence = ValidMost + Margin
+// DefaultExpiry is how long a lease that states no validity may go unwritten before it may be taken.
+const DefaultExpiry = MaxValidity + TakeoverMargin
 
 // Table is the table of cell leases. The part is the name of the cell.
 const Table = "cells"
@@ -91,42 +91,42 @@
 	Mark string `json:"mark"`
 }
 
-// Silence returns how long the lease may go unwritten before it may be taken.
-func (s Lease) Silence() time.Duration {
+// Expiry returns how long the lease may go unwritten before it may be taken.
+func (s Lease) Expiry() time.Duration {
 	if s.ValidMS == 0 {
-		return Silence
+		return DefaultExpiry
 	}
-	return time.Duration(s.ValidMS)*time.Millisecond + Margin
+	return time.Duration(s.ValidMS)*time.Millisecond + TakeoverMargin
 }
 
-// SilenceFor returns how long the lease may go unwritten before the given instance may take it.
-func (s Lease) SilenceFor(instance string) time.Duration {
+// TakeoverAfter returns how long the lease may go unwritten before the given instance may take it.
+func (s Lease) TakeoverAfter(instance string) time.Duration {
 	if slices.Contains(s.Absent, instance) {
-		return s.Silence() + AbsentWait
+		return s.Expiry() + AbsentTakeoverDelay
 	}
-	return s.Silence()
+	return s.Expiry()
 }
 
-// Seen is a lease as read from the store.
-type Seen struct {
+// Snapshot is a lease as read from the store.
+type Snapshot struct {
 	Lease
 	// Ver is the version of the row.
 	Ver uint64
-	// Unwritten is how long ago the lease was written, by the store's clock; 0 if unknown.
-	Unwritten time.Duration
+	// Age is how long ago the lease was written, by the store's clock; 0 if unknown.
+	Age time.Duration
 
 	clock storeClock
 }
 
-// SeenIn returns the lease in the response to a read of Range that was sent at the given time.
-func SeenIn(page rows.Page, asked time.Time) Seen {
+// SnapshotOf returns the lease in the response to a read of Range that was sent at the given time.
+func SnapshotOf(page rows.Page, asked time.Time) Snapshot {
 	row := page.One()
 	if row.Ver == 0 && len(page.Bad) > 0 {
 		row.Ver = page.Bad[0].Ver
 	}
-	s := Seen{Lease: decodeLease(row), Ver: row.Ver, clock: storeClock{ms: page.ClockMS, requestedAt: asked}}
+	s := Snapshot{Lease: decodeLease(row), Ver: row.Ver, clock: storeClock{ms: page.ClockMS, requestedAt: asked}}
 	if s.WrittenMS > 0 && page.ClockMS > s.WrittenMS {
-		s.Unwritten = time.Duration(page.ClockMS-s.WrittenMS) * time.Millisecond
+		s.Age = time.Duration(page.ClockMS-s.WrittenMS) * time.Millisecond
 	}
 	return s
 }
@@ -165,10 +165,10 @@
 	Absent []string
 }
 
-// Excused returns the instances that need not answer the owner: an owner whose lease is no longer
+// ExemptInstances returns the instances that need not answer the owner: an owner whose lease is no longer
 // valid may go on while all other instances answer it.
-func (w Write) Excused(now time.Time) []string {
-	if now.Sub(w.Begun) < AbsentWait {
+func (w Write) ExemptInstances(now time.Time) []string {
+	if now.Sub(w.Begun) < AbsentTakeoverDelay {
 		return w.Absent
 	}
 	return nil
@@ -200,9 +200,9 @@
 // Epoch returns the epoch under which the lease was taken.
 func (c *Claim) Epoch() uint64 { return c.epoch }
 
-// Written returns the last write that took effect. No other instance can hold the lease while it is
+// LastWrite returns the last write that took effect. No other instance can hold the lease while it is
 // valid.
-func (c *Claim) Written() Write {
+func (c *Claim) LastWrite() Write {
 	if w := c.lastWrite.Load(); w != nil {
 		return *w
 	}
@@ -211,7 +211,7 @@
 
 // Valid reports whether the last write is still valid.
 func (c *Claim) Valid(now time.Time) bool {
-	w := c.Written()
+	w := c.LastWrite()
 	return now.Sub(w.Begun) < w.Valid
 }
 
@@ -223,13 +223,13 @@
 func (c *Claim) key() rows.Key { return rows.Key{Table: Table, Part: c.Cell, Name: leaseRowName} }
 
 // Read reads the lease from the store.
-func (c *Claim) Read(ctx context.Context) (Seen, error) {
+func (c *Claim) Read(ctx context.Context) (Snapshot, error) {
 	asked := clock.Now()
 	page, err := c.Store.Get(ctx, Range(c.Cell))
 	if err != nil {
-		return Seen{}, err
+		return Snapshot{}, err
 	}
-	return SeenIn(page, asked), nil
+	return SnapshotOf(page, asked), nil
 }
 
 // unreadableOwner is the owner reported for a lease that cannot be decoded.
@@ -257,7 +257,7 @@
 
 // Take takes the lease as it was read before. It returns an error of kind Fenced if another
 // instance took it first.
-func (c *Claim) Take(ctx context.Context, seen Seen) error {
+func (c *Claim) Take(ctx context.Context, seen Snapshot) error {
 	c.epoch, c.ver, c.clock = seen.Epoch+1, seen.Ver, seen.clock
 	_, err := c.write(ctx, c.Owner, rows.Tx{})
 	return err
@@ -279,7 +279,7 @@
 // write writes t together with the lease, naming owner as its holder.
 func (c *Claim) write(ctx context.Context, owner string, t rows.Tx) (rows.Result, error) {
 	c.writeCount++
-	valid := min(max(writesPerValidity*c.lastWriteTook, ValidLeast), ValidMost)
+	valid := min(max(writesPerValidity*c.lastWriteTook, MinValidity), MaxValidity)
 	// However often the write is sent, the first attempt may be the one that takes effect, and
 	// other instances may count the validity from then.
 	begun := clock.Now()
--- a/claim/claim_test.go
+++ b/claim/claim_test.go
@@ -138,13 +138,13 @@
 		a := newClaim(t, "a")
 		take(ctx, a)
 		lease, _ := a.Read(ctx)
-		Expect(lease.Silence()).To(Equal(ValidLeast + Margin))
+		Expect(lease.Expiry()).To(Equal(MinValidity + TakeoverMargin))
 		a.lastWriteTook = time.Second / 3
 		_, err := a.Commit(ctx, rows.Tx{})
 		Expect(err).NotTo(HaveOccurred())
 		lease, _ = a.Read(ctx)
-		Expect(lease.Silence()).To(BeNumerically("~", time.Second+Margin, 2*time.Millisecond))
-		Expect(a.Written().Valid).To(BeNumerically("<", lease.Silence()))
+		Expect(lease.Expiry()).To(BeNumerically("~", time.Second+TakeoverMargin, 2*time.Millisecond))
+		Expect(a.LastWrite().Valid).To(BeNumerically("<", lease.Expiry()))
 	})
 
 	// Guards against counting the age of a lease only from when it was first read: after an owner
@@ -158,8 +158,8 @@
 		t.clockMS += 700
 		seen, err := b.Read(ctx)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(seen.Unwritten).To(BeNumerically("<=", 700*time.Millisecond), "never longer than it was")
-		Expect(seen.Unwritten).To(BeNumerically(">", 600*time.Millisecond))
+		Expect(seen.Age).To(BeNumerically("<=", 700*time.Millisecond), "never longer than it was")
+		Expect(seen.Age).To(BeNumerically(">", 600*time.Millisecond))
 	})
 
 	It("never states a time before that of the write, however long the last response took", func(ctx context.Context) {
@@ -185,11 +185,11 @@
 		take(ctx, a)
 		seen, err := a.Read(ctx)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(seen.SilenceFor("x")).To(Equal(seen.Silence() + AbsentWait))
-		Expect(seen.SilenceFor("y")).To(Equal(seen.Silence()))
-		w := a.Written()
-		Expect(w.Excused(w.Begun)).To(Equal([]string{"x"}))
-		Expect(w.Excused(w.Begun.Add(AbsentWait))).To(BeEmpty())
+		Expect(seen.TakeoverAfter("x")).To(Equal(seen.Expiry() + AbsentTakeoverDelay))
+		Expect(seen.TakeoverAfter("y")).To(Equal(seen.Expiry()))
+		w := a.LastWrite()
+		Expect(w.ExemptInstances(w.Begun)).To(Equal([]string{"x"}))
+		Expect(w.ExemptInstances(w.Begun.Add(AbsentTakeoverDelay))).To(BeEmpty())
 	})
 
 	It("has no known age if its writer did not know the store's clock", func(ctx context.Context) {
@@ -199,7 +199,7 @@
 		t.clockMS = 90_000
 		seen, err := b.Read(ctx)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(seen.Unwritten).To(BeZero())
+		Expect(seen.Age).To(BeZero())
 	})
 
 	It("resolves a write whose response was lost, whether it took effect or not", func(ctx context.Context) {
@@ -222,7 +222,7 @@
 		t.faults, t.sentAt = []int{4, 4}, nil
 		_, err := a.Commit(ctx, rows.Tx{})
 		Expect(err).NotTo(HaveOccurred())
-		Expect(a.Written().Begun).To(BeTemporally("<=", t.sentAt[0]), "the first attempt may be the one that took effect")
+		Expect(a.LastWrite().Begun).To(BeTemporally("<=", t.sentAt[0]), "the first attempt may be the one that took effect")
 	}, SpecTimeout(10*time.Second))
 
 	It("is released although an earlier write takes effect late", func(ctx context.Context) {
--- a/claim/foreign_test.go
+++ b/claim/foreign_test.go
@@ -17,13 +17,13 @@
 	g := NewWithT(t)
 	now := time.Now()
 	for _, value := range []string{"", "{", "7", `{"epoch":"x"}`, "\xff"} {
-		seen := SeenIn(rows.Page{Rows: []rows.Row{{Value: []byte(value), Ver: 41}}}, now)
+		seen := SnapshotOf(rows.Page{Rows: []rows.Row{{Value: []byte(value), Ver: 41}}}, now)
 		g.Expect(seen.Owner).NotTo(BeEmpty(), value)
 		g.Expect(seen.Epoch).To(Equal(uint64(41)), "no epoch is above the versions of its writes")
-		g.Expect(seen.Silence()).To(Equal(Silence))
+		g.Expect(seen.Expiry()).To(Equal(DefaultExpiry))
 	}
-	seen := SeenIn(rows.Page{Bad: []rows.Bad{{Ver: 41, Reason: "value"}}}, now)
+	seen := SnapshotOf(rows.Page{Bad: []rows.Bad{{Ver: 41, Reason: "value"}}}, now)
 	g.Expect(seen.Ver).To(Equal(uint64(41)))
 	g.Expect(seen.Owner).NotTo(BeEmpty())
-	g.Expect(SeenIn(rows.Page{}, now).Owner).To(BeEmpty(), "a lease that was never written is free")
+	g.Expect(SnapshotOf(rows.Page{}, now).Owner).To(BeEmpty(), "a lease that was never written is free")
 }
--- a/cluster/carry.go
+++ b/cluster/carry.go
@@ -101,7 +101,7 @@
 		o := &orders[i]
 		m.Orders = append(m.Orders, &wire.StartOrder{
 			Worker: o.Worker, Addr: o.Addr, Fence: o.Fence, Index: uint32(o.Task.Index), Run: uint64(o.Run),
-			Saved: o.Saved, Ticket: o.Ticket, UntilMs: o.UntilMS, LimitUs: uint32(limit.Microseconds()),
+			Saved: o.Saved, Ticket: o.Ticket, UntilMs: o.LeaseUntilMS, LimitUs: uint32(limit.Microseconds()),
 		})
 	}
 	return m
@@ -127,8 +127,8 @@
 	s.n.members.addRelayedOrders(by.name, 1)
 	defer s.n.members.addRelayedOrders(by.name, -1)
 	reply, err := s.n.dialer.Do(ctx, by.addr, &wire.Request{Body: &wire.Request_Hold{Hold: &wire.HoldOrder{
-		Worker: o.Worker, Addr: o.Addr, Fence: o.Fence, Observed: uint64(o.Observed), UntilMs: o.UntilMS,
-		WaitMs: uint32(o.Wait.Milliseconds()), LimitMs: uint32(limit.Milliseconds()), Brief: o.Brief,
+		Worker: o.Worker, Addr: o.Addr, Fence: o.Fence, Observed: uint64(o.Observed), UntilMs: o.LeaseUntilMS,
+		WaitMs: uint32(o.Wait.Milliseconds()), LimitMs: uint32(limit.Milliseconds()), Brief: o.EndsOnly,
 	}}})
 	if err != nil {
 		if ctx.Err() == nil || context.Cause(ctx) != context.Canceled {
@@ -144,7 +144,7 @@
 	if err := wire.ErrorOf(m.GetError()); err != nil {
 		return driver.HoldAnswer{}, err
 	}
-	a := driver.HoldAnswer{ClockMS: m.GetClockMs(), Lists: cell.Lists{Born: m.GetBornMs(), Truncated: m.GetCut()}, Brief: m.GetBrief()}
+	a := driver.HoldAnswer{ClockMS: m.GetClockMs(), Lists: cell.Lists{Born: m.GetBornMs(), Truncated: m.GetCut()}, EndsOnly: m.GetBrief()}
 	for _, r := range m.GetRunning() {
 		a.Lists.Running = append(a.Lists.Running, cell.Running{
 			Task: taskID(r.Task), Run: int(r.Run), Checkpoint: r.Saved, Percent: int(r.Percent), Tail: r.Tail,
@@ -173,7 +173,7 @@
 	defer cancel()
 	a, err := n.Carrier.Hold(ctx, driver.HoldOrder{
 		Target:   driver.Target{Worker: m.Worker, Addr: m.Addr, Fence: m.Fence},
-		Observed: int(m.Observed), UntilMS: m.UntilMs, Wait: wait,
+		Observed: int(m.Observed), LeaseUntilMS: m.UntilMs, Wait: wait,
 	})
 	out := &wire.HoldResult{
 		Error: wire.ToError(err), ClockMs: a.ClockMS, BornMs: a.Lists.Born, Cut: a.Lists.Truncated, Brief: m.Brief && len(a.Lists.Finished) > 0,
@@ -221,7 +221,7 @@
 	a, err := n.Carrier.Start(ctx, driver.StartOrder{
 		Target: driver.Target{Worker: o.Worker, Addr: o.Addr, Fence: o.Fence},
 		Task:   flow.TaskID{Job: m.Job, Time: int(m.Time), Step: int(m.Step), Index: int(o.Index)},
-		Run:    int(o.Run), Text: m.Text, Saved: o.Saved, Ticket: o.Ticket, UntilMS: o.UntilMs,
+		Run:    int(o.Run), Text: m.Text, Saved: o.Saved, Ticket: o.Ticket, LeaseUntilMS: o.UntilMs,
 	})
 	return &wire.StartResult{
 		Error: wire.ToError(err), Outcome: uint32(a.Outcome), ClockMs: a.ClockMS, TookUs: uint32(clock.Since(sent).Microseconds()),
--- a/cluster/carry_test.go
+++ b/cluster/carry_test.go
@@ -59,7 +59,7 @@
 	order := func(worker string, index int) driver.StartOrder {
 		return driver.StartOrder{
 			Target: driver.Target{Worker: worker, Addr: "a", Fence: 99},
-			Task:   flow.TaskID{Job: "j", Time: 1, Step: 2, Index: index}, Run: 5, Text: "text", Saved: "s", Ticket: "t", UntilMS: 1234,
+			Task:   flow.TaskID{Job: "j", Time: 1, Step: 2, Index: index}, Run: 5, Text: "text", Saved: "s", Ticket: "t", LeaseUntilMS: 1234,
 		}
 	}
 
@@ -100,7 +100,7 @@
 		}
 		a, err := hold("good", true)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(a.Brief).To(BeFalse())
+		Expect(a.EndsOnly).To(BeFalse())
 		Expect(a.Lists.Truncated).To(BeTrue())
 		Expect(a.ClockMS).To(Equal(int64(7)))
 		Expect(a.Lists.Running).To(Equal([]cell.Running{{Task: flow.TaskID{Job: "j", Time: 1, Step: 2, Index: 3}, Run: 4, Checkpoint: "s", Percent: 50, Tail: 9}}))
@@ -110,7 +110,7 @@
 		Expect(a.Lists.Running).To(HaveLen(1))
 		a, err = hold("good", true)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(a.Brief).To(BeTrue())
+		Expect(a.EndsOnly).To(BeTrue())
 		Expect(a.Lists.Running).To(BeEmpty())
 		Expect(a.Lists.Finished).To(Equal(w.finished))
 		_, err = hold("gone", true)
--- a/cluster/division.go
+++ b/cluster/division.go
@@ -184,7 +184,7 @@
 func countUsable(all []driver.Entry) int {
 	count := 0
 	for i := range all {
-		if all[i].Bad == "" && !all[i].Gone {
+		if all[i].Invalid == "" && !all[i].Gone {
 			count++
 		}
 	}
--- a/cluster/elect.go
+++ b/cluster/elect.go
@@ -37,7 +37,7 @@
 	// An owner that the store does not answer continues to give orders while all other instances
 	// answer its greetings. ownerActiveTime is how long an owner must not have been heard until that
 	// can no longer be the case.
-	ownerActiveTime = answerMaxAge + claim.Margin
+	ownerActiveTime = answerMaxAge + claim.TakeoverMargin
 	// startupDelay is how long after its start an instance leaves cells to stronger instances that
 	// the store lists: the time that those take to start and to claim a cell.
 	startupDelay     = 700 * time.Millisecond
@@ -170,7 +170,7 @@
 	}
 	n.kit.Scope.Tagged(map[string]string{"why": why}).Counter("cell_leases_taken_total").Inc(1)
 	level.Info(n.kit.Log).Log("event", "cell_lease_taken", "cell", name, "epoch", c.Epoch(), "before", lease.Owner, "why", why,
-		"unwritten_ms", lease.Unwritten.Milliseconds(), "watched_ms", watched.Milliseconds(), "absent", len(lease.Absent))
+		"unwritten_ms", lease.Age.Milliseconds(), "watched_ms", watched.Milliseconds(), "absent", len(lease.Absent))
 	n.startDriver(name, c, formerOwnerTime(why, lease.Lease, watched))
 }
 
@@ -197,11 +197,11 @@
 // to wait out. An instance that owners do not know yet has to watch for the whole time: the store
 // may be unreachable for the owner alone, which then continues to give orders without answers of
 // instances that it does not know.
-func (n *Instance) knownUnwritten(lease claim.Seen, watched time.Duration) time.Duration {
+func (n *Instance) knownUnwritten(lease claim.Snapshot, watched time.Duration) time.Duration {
 	if !n.listed.Load() {
 		return watched
 	}
-	return max(watched, lease.Unwritten)
+	return max(watched, lease.Age)
 }
 
 // Reasons why a cell lease may be taken: its owner's address refuses connections, or it went
@@ -217,10 +217,10 @@
 	switch {
 	case why == reasonOwnerGone:
 		// The owner may be behind a cut in the network that refuses connections.
-		return lease.Silence()
-	case why == reasonOwnerSilent && watched < lease.Silence():
+		return lease.Expiry()
+	case why == reasonOwnerSilent && watched < lease.Expiry():
 		// An earlier process of this instance may have answered the owner's greeting a moment ago.
-		return claim.Margin
+		return claim.TakeoverMargin
 	}
 	return 0
 }
@@ -232,7 +232,7 @@
 		return "free"
 	case lease.Owner == n.settings.Instance:
 		return "was this instance's before"
-	case unwritten > lease.SilenceFor(n.settings.Instance):
+	case unwritten > lease.TakeoverAfter(n.settings.Instance):
 		return reasonOwnerSilent
 	}
 	heard := n.members.list(clock.Now(), func(k *member) bool { return k.name == lease.Owner })
@@ -245,7 +245,7 @@
 	}
 	// An address behind a network cut does not answer. It is dialed no longer than the lease still
 	// runs, so that the check that finds the lease over is not delayed by the dial timeout.
-	ctx, cancel := context.WithTimeout(ctx, lease.Silence()-unwritten+electInterval/2)
+	ctx, cancel := context.WithTimeout(ctx, lease.Expiry()-unwritten+electInterval/2)
 	defer cancel()
 	if n.refusesConnections(ctx, lease.Addr) {
 		return reasonOwnerGone
--- a/cluster/elect_test.go
+++ b/cluster/elect_test.go
@@ -84,8 +84,8 @@
 		defer l.Close()
 		n := testInstance(&fakePolicy{})
 		lease := claim.Lease{Owner: "other", Boot: "b", Addr: l.Addr().String(), ValidMS: 900}
-		Expect(n.vacancyReason(ctx, lease, lease.Silence())).To(BeEmpty())
-		Expect(n.vacancyReason(ctx, lease, lease.Silence()+1)).To(Equal("owner silent"))
+		Expect(n.vacancyReason(ctx, lease, lease.Expiry())).To(BeEmpty())
+		Expect(n.vacancyReason(ctx, lease, lease.Expiry()+1)).To(Equal("owner silent"))
 	})
 
 	It("is left to much stronger instances for a while", func() {
--- a/cluster/ends.go
+++ b/cluster/ends.go
@@ -114,7 +114,7 @@
 func (n *Instance) unstoredSuccesses(now time.Time) []string {
 	var out []string
 	for _, c := range n.ownCells() {
-		out = append(out, c.driver.Unkept(now)...)
+		out = append(out, c.driver.UnsavedSuccesses(now)...)
 	}
 	return out
 }
@@ -125,7 +125,7 @@
 		return
 	}
 	for _, c := range n.ownCells() {
-		c.driver.Shared(ids)
+		c.driver.SuccessesReported(ids)
 	}
 }
 
@@ -136,6 +136,6 @@
 	}
 	n.successes.add(ids, boot, clock.Now())
 	for _, c := range n.ownCells() {
-		c.driver.Heard(ids)
+		c.driver.ApplySuccesses(ids)
 	}
 }
--- a/cluster/ends_test.go
+++ b/cluster/ends_test.go
@@ -97,9 +97,9 @@
 		n, now := instanceAfterLoss()
 		Expect(n.members.absent(now)).To(Equal([]string{"gone"}))
 		Expect(n.members.allAnswered(now, nil)).To(BeFalse())
-		last := claim.Write{Begun: now.Add(-claim.AbsentWait / 2), Absent: []string{"gone"}}
+		last := claim.Write{Begun: now.Add(-claim.AbsentTakeoverDelay / 2), Absent: []string{"gone"}}
 		Expect(n.answeredByAll(last)).To(BeTrue())
-		last.Begun = now.Add(-claim.AbsentWait)
+		last.Begun = now.Add(-claim.AbsentTakeoverDelay)
 		Expect(n.answeredByAll(last)).To(BeFalse(), "the absent instance may take the cell from now on")
 	})
 
@@ -116,10 +116,10 @@
 	It("may take the cell only long after the instances that were heard", func(ctx context.Context) {
 		n := testInstance(&fakePolicy{})
 		lease := claim.Lease{Owner: "other", Boot: "b", Addr: "127.0.0.1:1", ValidMS: 400, Absent: []string{"me"}}
-		Expect(n.vacancyReason(ctx, lease, lease.Silence()+1)).To(BeEmpty(), "though nobody listens at its owner's address")
-		Expect(n.vacancyReason(ctx, lease, lease.Silence()+claim.AbsentWait+1)).To(Equal(reasonOwnerSilent))
+		Expect(n.vacancyReason(ctx, lease, lease.Expiry()+1)).To(BeEmpty(), "though nobody listens at its owner's address")
+		Expect(n.vacancyReason(ctx, lease, lease.Expiry()+claim.AbsentTakeoverDelay+1)).To(Equal(reasonOwnerSilent))
 		lease.Absent = []string{"x"}
-		Expect(n.vacancyReason(ctx, lease, lease.Silence()+1)).To(Equal(reasonOwnerSilent))
+		Expect(n.vacancyReason(ctx, lease, lease.Expiry()+1)).To(Equal(reasonOwnerSilent))
 	})
 })
 
--- a/cluster/fleet_test.go
+++ b/cluster/fleet_test.go
@@ -42,7 +42,7 @@
 
 var _ = Describe("the division into cells", func() {
 	It("does not count entries without a usable worker", func() {
-		all := []driver.Entry{{}, {Bad: "state"}, {Worker: cell.Worker{Gone: true}}, {}}
+		all := []driver.Entry{{}, {Invalid: "state"}, {Worker: cell.Worker{Gone: true}}, {}}
 		Expect(countUsable(all)).To(Equal(2))
 	})
 })
--- a/cluster/greet.go
+++ b/cluster/greet.go
@@ -46,7 +46,7 @@
 		Processor: n.processor(), Leaving: n.leaving.Load(), ConfigVersion: n.config.Version(), StoreOk: n.storeClient.DirectOK(),
 	}
 	for name, c := range n.ownCells() {
-		d, written := c.driver, c.claim.Written()
+		d, written := c.driver, c.claim.LastWrite()
 		load := d.Load()
 		sum := &wire.CellSummary{
 			Name: name, Epoch: d.Claim.Epoch(), Ready: d.Ready(), Keeps: n.storeClient.Reachable(),
--- a/cluster/instance.go
+++ b/cluster/instance.go
@@ -273,7 +273,7 @@
 	asked := clock.Now()
 	page, err := get(ctx, r)
 	if err == nil && name != "" {
-		n.noteLeaseWrite(name, claim.SeenIn(page, asked).Ver, clock.Now())
+		n.noteLeaseWrite(name, claim.SnapshotOf(page, asked).Ver, clock.Now())
 	}
 }
 
--- a/cluster/members.go
+++ b/cluster/members.go
@@ -18,10 +18,10 @@
 	sameHallTimeout  = 1600 * time.Millisecond
 	otherHallTimeout = 5 * time.Second
 	// cellSummaryTTL is how long the summary of a cell in a greeting is valid.
-	cellSummaryTTL = claim.ValidLeast + 2*claim.Margin
+	cellSummaryTTL = claim.MinValidity + 2*claim.TakeoverMargin
 	// Every member that was heard within memberWindow must have answered a greeting within
 	// answerMaxAge for allAnswered to hold. It is shorter than cellSummaryTTL.
-	answerMaxAge = claim.ValidLeast
+	answerMaxAge = claim.MinValidity
 	memberWindow = 30 * time.Second
 	// absentAfter is how long an instance must not have answered before the cell lease names it as
 	// absent: six greetings of an owner.
--- a/cluster/own.go
+++ b/cluster/own.go
@@ -41,15 +41,15 @@
 	t := n.currentReloadable()
 	var d *driver.Driver
 	d = driver.New(driver.Config{
-		Name: name, Mine: func(rack string) bool { return n.division.hashCell(rack) == name },
-		Lease: t.lease, LeaseMost: time.Duration(n.settings.Cluster.LeaseMost), Keep: t.keep, Former: former,
+		Name: name, OwnsRack: func(rack string) bool { return n.division.hashCell(rack) == name },
+		WorkerLease: t.lease, MaxWorkerLease: time.Duration(n.settings.Cluster.LeaseMost), Retention: t.keep, FormerGrace: former,
 		LinkRate: n.settings.Cluster.LinkRate(),
-		Claim:    c, Store: n.storeClient, Reachable: n.storeClient.Reachable,
+		Claim:    c, Store: n.storeClient, StoreReachable: n.storeClient.Reachable,
 		Workers: n.Workers, Carriers: relays{n}, Directory: n.Directory(n.storeClient),
-		Advise: n.advise, Callers: n.adviceConcurrency, HeardByAll: func() bool { return n.answeredByAll(c.Written()) }, Succeeded: n.successes.all,
-		Lost:         func() { n.dropDriver(name, d) },
-		LoadTimedOut: func() { n.giveUpCell(name, d, c) },
-		Log:          n.kit.Log, Scope: n.kit.Scope,
+		Advise: n.advise, AskLimit: n.adviceConcurrency, HeardByAll: func() bool { return n.answeredByAll(c.LastWrite()) }, ReportedSuccesses: n.successes.all,
+		OnLeaseLost:   func() { n.dropDriver(name, d) },
+		OnLoadTimeout: func() { n.giveUpCell(name, d, c) },
+		Log:           n.kit.Log, Scope: n.kit.Scope,
 	})
 	n.configure(d)
 	n.mu.Lock()
@@ -75,7 +75,7 @@
 // lately has answered the last greetings, or may not take the cell so soon after the write last.
 func (n *Instance) answeredByAll(last claim.Write) bool {
 	now := clock.Now()
-	return n.members.allAnswered(now, last.Excused(now))
+	return n.members.allAnswered(now, last.ExemptInstances(now))
 }
 
 // dropDriver stops the driver of a cell that this instance no longer owns.
--- a/cluster/own_test.go
+++ b/cluster/own_test.go
@@ -119,7 +119,7 @@
 		Expect(err).NotTo(HaveOccurred())
 		defer l.Close()
 		s.lease = claim.Lease{Owner: "other", Boot: "b", Addr: l.Addr().String(), ValidMS: 400, WrittenMS: 7000}
-		s.clock = 7000 + s.lease.Silence().Milliseconds()
+		s.clock = 7000 + s.lease.Expiry().Milliseconds()
 		n.tryTakeLease(ctx, "cell-0")
 		Expect(n.ownDriver("cell-0")).To(BeNil(), "its owner may still give orders")
 		s.clock++
@@ -129,7 +129,7 @@
 		n.listed.Store(true)
 		n.tryTakeLease(ctx, "cell-0")
 		Expect(n.ownDriver("cell-0")).NotTo(BeNil())
-		Expect(n.ownDriver("cell-0").Former).To(Equal(claim.Margin))
+		Expect(n.ownDriver("cell-0").FormerGrace).To(Equal(claim.TakeoverMargin))
 	})
 
 	// The address of an owner behind a network cut did not answer for 0.25 s, and the check that
@@ -138,7 +138,7 @@
 		n, _ := instanceOnOwnedStore()
 		lease := claim.Lease{Owner: "other", Boot: "b", Addr: fullListener(), ValidMS: 400}
 		begun := time.Now()
-		Expect(n.vacancyReason(ctx, lease, lease.Silence()-20*time.Millisecond)).To(BeEmpty())
+		Expect(n.vacancyReason(ctx, lease, lease.Expiry()-20*time.Millisecond)).To(BeEmpty())
 		Expect(time.Since(begun)).To(BeNumerically("<", dialProbeTimeout/2))
 	})
 
@@ -147,7 +147,7 @@
 		n.tryTakeLease(ctx, "cell-0")
 		d := n.ownDriver("cell-0")
 		Expect(d).NotTo(BeNil())
-		Expect(d.Former).To(Equal(900*time.Millisecond + claim.Margin))
+		Expect(d.FormerGrace).To(Equal(900*time.Millisecond + claim.TakeoverMargin))
 		Eventually(d.Loaded).Should(BeTrue())
 		n.dropDriver("cell-0", d)
 		Expect(n.members.lastPending).To(HaveKey("cell-0"))
--- a/driver/carry.go
+++ b/driver/carry.go
@@ -130,7 +130,7 @@
 	o := StartOrder{
 		Target: Target{Worker: s.Worker, Addr: l.addr, Fence: l.fence},
 		Task:   s.Task, Run: s.Run, Text: s.Text, Saved: s.Checkpoint, Ticket: s.Ticket,
-		UntilMS: d.newLeaseEnd(l, now),
+		LeaseUntilMS: d.newLeaseEnd(l, now),
 	}
 	level.Debug(d.Log).Log("event", "start", "job", s.Task.Job, "step", s.Task.Step, "index", s.Task.Index, "run", s.Run, "worker", s.Worker, "fence", o.Fence)
 	return pendingStart{StartOrder: o, hall: l.hall, orderNumber: l.addOrder(now), limit: d.orderTimeout(l, now), minClockMS: l.clockMS}, true
--- a/driver/driver.go
+++ b/driver/driver.go
@@ -26,21 +26,21 @@
 type Config struct {
 	// Name is the name of the cell.
 	Name string
-	// Mine reports whether the workers of a rack belong to this cell.
-	Mine func(rack string) bool
-	// Lease is how long runs on a worker go on without a renewal, and LeaseMost the longest lease
-	// that a worker grants, whatever it is told. A LeaseMost of 0 stands for Lease.
-	Lease, LeaseMost time.Duration
-	// Former is for how long after this instance took the cell lease a former owner may still send
+	// OwnsRack reports whether the workers of a rack belong to this cell.
+	OwnsRack func(rack string) bool
+	// WorkerLease is how long runs on a worker go on without a renewal, and MaxWorkerLease the longest lease
+	// that a worker grants, whatever it is told. A MaxWorkerLease of 0 stands for WorkerLease.
+	WorkerLease, MaxWorkerLease time.Duration
+	// FormerGrace is for how long after this instance took the cell lease a former owner may still send
 	// orders.
-	Former time.Duration
-	// Keep is how long clients can query a job after its end.
-	Keep time.Duration
+	FormerGrace time.Duration
+	// Retention is how long clients can query a job after its end.
+	Retention time.Duration
 	// Claim holds the cell lease. The Driver is its only user.
-	Claim     *claim.Claim
-	Store     rows.Store
-	Reachable func() bool
-	Workers   Workers
+	Claim          *claim.Claim
+	Store          rows.Store
+	StoreReachable func() bool
+	Workers        Workers
 	// Carriers send orders on behalf of this instance when its own link is saturated. It may be
 	// nil.
 	Carriers  Carriers
@@ -48,20 +48,20 @@
 	// LinkRate is the capacity of this instance's network link in bytes per second, 0 if unknown.
 	LinkRate int
 	// Advise asks the policy, and Callers returns how many such requests may be in flight at once.
-	Advise  func(ctx context.Context, a cell.Ask) (Tickets, error)
-	Callers func() int
+	Advise   func(ctx context.Context, a cell.Ask) (Tickets, error)
+	AskLimit func() int
 	// HeardByAll reports whether every instance that might take the cell lease is known to have
 	// heard from this one recently.
 	HeardByAll func() bool
-	// Succeeded returns the jobs that, as other instances have told this one, have succeeded.
-	Succeeded func() []string
-	// Lost is called when another instance holds the cell lease.
-	Lost func()
-	// LoadTimedOut is called when the jobs could not be read in time although the store answers.
+	// ReportedSuccesses returns the jobs that, as other instances have told this one, have succeeded.
+	ReportedSuccesses func() []string
+	// OnLeaseLost is called when another instance holds the cell lease.
+	OnLeaseLost func()
+	// OnLoadTimeout is called when the jobs could not be read in time although the store answers.
 	// Another instance may have a faster connection to it.
-	LoadTimedOut func()
-	Log          log.Logger
-	Scope        tally.Scope
+	OnLoadTimeout func()
+	Log           log.Logger
+	Scope         tally.Scope
 }
 
 // Driver runs a cell. Use New to create one.
@@ -294,7 +294,7 @@
 	d.Scope.Counter("cell_leases_lost_total").Inc(1)
 	level.Warn(d.Log).Log("event", "cell_lease_lost", "cell", d.Name, "epoch", d.Claim.Epoch(), "why", why)
 	d.cancel()
-	go d.Lost()
+	go d.OnLeaseLost()
 }
 
 // placeLoop runs the cell's decisions after events and at regular intervals.
@@ -348,7 +348,7 @@
 			}
 			return held
 		}
-		if !d.Reachable() {
+		if !d.StoreReachable() {
 			return true
 		}
 	}
@@ -394,7 +394,7 @@
 	}
 	carried := d.carrying(now)
 	d.cell.SetSendBudget(d.startWindow.Free(), carried)
-	a := d.cell.Place(now, clock.Wall(), d.Callers())
+	a := d.cell.Place(now, clock.Wall(), d.AskLimit())
 	d.sendStarts(a.Starts, carried)
 	for i := range a.Stops {
 		d.sendStop(a.Stops[i])
--- a/driver/driver_test.go
+++ b/driver/driver_test.go
@@ -128,10 +128,10 @@
 	Expect(err).NotTo(HaveOccurred())
 	Expect(c.Take(ctx, lease)).To(Succeed())
 	return New(Config{
-		Name: "c", Lease: time.Second, Keep: time.Hour, Claim: c, Store: t,
-		Workers: unreachable{}, Mine: func(string) bool { return true }, Reachable: func() bool { return true },
-		Directory: emptyDirectory{}, Callers: func() int { return 1 }, HeardByAll: func() bool { return true }, Succeeded: func() []string { return nil },
-		Lost: func() {}, LoadTimedOut: loadTimedOut, Log: log.NewNopLogger(), Scope: tally.NoopScope,
+		Name: "c", WorkerLease: time.Second, Retention: time.Hour, Claim: c, Store: t,
+		Workers: unreachable{}, OwnsRack: func(string) bool { return true }, StoreReachable: func() bool { return true },
+		Directory: emptyDirectory{}, AskLimit: func() int { return 1 }, HeardByAll: func() bool { return true }, ReportedSuccesses: func() []string { return nil },
+		OnLeaseLost: func() {}, OnLoadTimeout: loadTimedOut, Log: log.NewNopLogger(), Scope: tally.NoopScope,
 	})
 }
 
@@ -177,7 +177,7 @@
 		d := newDriver(ctx, newMemStore(), func() {})
 		heardByAll := false
 		d.HeardByAll = func() bool { return heardByAll }
-		w := d.Claim.Written()
+		w := d.Claim.LastWrite()
 		Expect(d.mayOrder(w.Begun.Add(w.Valid - 1))).To(BeTrue())
 		Expect(d.mayOrder(w.Begun.Add(w.Valid))).To(BeFalse())
 		heardByAll = true
@@ -187,7 +187,7 @@
 	ginkgo.It("reports unsaved successes only while no other instance may own the cell", func(ctx context.Context) {
 		d := newDriver(ctx, newMemStore(), func() {})
 		d.HeardByAll = func() bool { return false }
-		d.Succeeded = func() []string { return []string{"a1"} }
+		d.ReportedSuccesses = func() []string { return []string{"a1"} }
 		spec := &flow.Spec{ID: "a1", Cell: "c", Steps: []flow.Step{{Count: 1}}}
 		_, err := d.Store.Tx(ctx, rows.Tx{Put: []rows.Row{{Key: SpecKey("a1"), Value: flow.Encode(spec)}}})
 		Expect(err).NotTo(HaveOccurred())
@@ -195,8 +195,8 @@
 		s, _ := d.State("a1")
 		Expect(s).To(Equal(flow.Succeeded), "a peer was told so by a former owner")
 		soon := time.Now().Add(time.Second / 4)
-		Expect(d.Unkept(soon)).To(Equal([]string{"a1"}))
-		Expect(d.Unkept(soon.Add(claim.ValidMost))).To(BeEmpty())
+		Expect(d.UnsavedSuccesses(soon)).To(Equal([]string{"a1"}))
+		Expect(d.UnsavedSuccesses(soon.Add(claim.MaxValidity))).To(BeEmpty())
 	})
 
 	ginkgo.It("removes the records of jobs whose specification is gone", func(ctx context.Context) {
@@ -217,7 +217,7 @@
 			e := flow.Ended{State: flow.Succeeded, Cell: cell, AtMS: now.Add(-age).UnixMilli()}
 			return rows.Row{Key: EndedKey(id), Value: flow.Encode(e)}
 		}
-		d.sweepPart([]rows.Row{row("a1", "c", 2*d.Keep), row("a2", "c", d.Keep/2), row("a3", "other", 2*d.Keep), row("a4", "c", d.Keep+maxClockSkew/2)}, now)
+		d.sweepPart([]rows.Row{row("a1", "c", 2*d.Retention), row("a2", "c", d.Retention/2), row("a3", "other", 2*d.Retention), row("a4", "c", d.Retention+maxClockSkew/2)}, now)
 		Expect(d.archives.take("a")).To(Equal([]archive{{id: "a1", removeLast: true}}), "a4 may be younger by another instance's clock")
 	})
 })
@@ -257,11 +257,11 @@
 	ginkgo.It("last for their full length after the former owner's last possible order", func(ctx context.Context) {
 		d := newDriver(ctx, newMemStore(), func() {})
 		defer d.Close()
-		d.Former = time.Second
+		d.FormerGrace = time.Second
 		d.mu.Lock()
 		defer d.mu.Unlock()
 		d.restoreWorkers([]workerListEntry{{ID: "w", Addr: "127.0.0.1:1"}})
-		Expect(d.links["w"].leasesEnd).To(BeTemporally(">=", d.startedAt.Add(time.Second+claim.Margin+d.Lease)))
+		Expect(d.links["w"].leasesEnd).To(BeTemporally(">=", d.startedAt.Add(time.Second+claim.TakeoverMargin+d.WorkerLease)))
 	})
 })
 
--- a/driver/foreign_test.go
+++ b/driver/foreign_test.go
@@ -23,7 +23,7 @@
 		return Entry{Worker: cell.Worker{ID: "w", Addr: "w", Pool: "p", Hall: "h", Room: room}, Ver: ver}
 	}
 	bad := func(id string, ver uint64) Entry {
-		return Entry{Worker: cell.Worker{ID: id}, Ver: ver, Bad: "state \"retired\""}
+		return Entry{Worker: cell.Worker{ID: id}, Ver: ver, Invalid: "state \"retired\""}
 	}
 	place := func(d *Driver) []cell.Start {
 		d.mu.Lock()
--- a/driver/hold.go
+++ b/driver/hold.go
@@ -52,11 +52,11 @@
 	// A worker that might not answer gets no longer lease: otherwise the end of the lease would
 	// never be certain.
 	if !attach && d.mayOrder(now) {
-		o.UntilMS = d.newLeaseEnd(l, now)
+		o.LeaseUntilMS = d.newLeaseEnd(l, now)
 	}
 	if !attach && !unsaved {
 		o.Wait = d.holdWait(l, now)
-		o.Brief = now.Sub(l.listedAt) < o.Wait
+		o.EndsOnly = now.Sub(l.listedAt) < o.Wait
 	}
 	limit := d.orderTimeout(l, now)
 	// If a carrier gets no answer from the worker, the hold is sent directly as well.
@@ -187,7 +187,7 @@
 			d.replaceLife(l, o, &a, now)
 		}
 		d.workerAttached(l, &a, now)
-	case a.Brief:
+	case a.EndsOnly:
 		d.cell.EndsListed(l.id, a.Lists, now)
 		l.updateClock(a.ClockMS, now)
 	default:
--- a/driver/leaving_kept_test.go
+++ b/driver/leaving_kept_test.go
@@ -50,7 +50,7 @@
 		t, w := &stallingStore{memStore: newMemStore()}, &leavingWorker{restartingWorker: newRestartingWorker()}
 		d := newDriver(ctx, t.memStore, func() {})
 		d.Claim.Store, d.Store = t, t
-		d.Lease = 5 * time.Second
+		d.WorkerLease = 5 * time.Second
 		d.Workers, d.Directory = w, w
 		d.Configure([]cell.Queue{{Name: "q", Pool: "p", MaxAttempts: 1}})
 		d.Start()
--- a/driver/leaving_late_test.go
+++ b/driver/leaving_late_test.go
@@ -111,7 +111,7 @@
 		t, w := newMemStore(), &departingWorker{changed: make(chan struct{})}
 		t.putSpec("0")
 		d := newDriver(ctx, t, func() {})
-		d.Lease = 6 * time.Second
+		d.WorkerLease = 6 * time.Second
 		d.Workers, d.Directory = w, w
 		d.Configure([]cell.Queue{{Name: "q", Pool: "p", MaxAttempts: 1}})
 		d.Start()
--- a/driver/leaving_test.go
+++ b/driver/leaving_test.go
@@ -160,7 +160,7 @@
 		w := &dyingWorker{ended: make(chan struct{})}
 		d := stopAndLeave(ctx, w)
 		Eventually(func() flow.State { s, _ := d.State("0"); return s }, "3s").Should(Equal(flow.Succeeded))
-		Consistently(w.started, slowClockDuration(d.Lease)+time.Second).Should(Equal(1))
+		Consistently(w.started, slowClockDuration(d.WorkerLease)+time.Second).Should(Equal(1))
 	})
 
 	ginkgo.It("may be missed, and then the run is logged as left behind", func(ctx context.Context) {
@@ -183,6 +183,6 @@
 		d := stopAndLeave(ctx, w)
 		begun := time.Now()
 		Eventually(w.started, "5s").Should(Equal(2))
-		Expect(time.Since(begun)).To(BeNumerically(">", d.Lease/2))
+		Expect(time.Since(begun)).To(BeNumerically(">", d.WorkerLease/2))
 	})
 })
--- a/driver/life.go
+++ b/driver/life.go
@@ -54,7 +54,7 @@
 	d.logReborn(l, o, a, true)
 	// A lease that was given by the previous life's clock may last as long as the longest lease
 	// that a worker grants.
-	l.life = life{leasesEnd: now.Add(slowClockDuration(max(d.LeaseMost, d.Lease)))}
+	l.life = life{leasesEnd: now.Add(slowClockDuration(max(d.MaxWorkerLease, d.WorkerLease)))}
 }
 
 // slowClockDuration returns how long a lease of d may last by this clock if the worker's is slow.
@@ -68,7 +68,7 @@
 	if l.clockMS == 0 {
 		return 0
 	}
-	until := l.clockMS + now.Sub(l.clockAt).Milliseconds() + d.Lease.Milliseconds()
+	until := l.clockMS + now.Sub(l.clockAt).Milliseconds() + d.WorkerLease.Milliseconds()
 	left := time.Duration(until-l.clockMS) * time.Millisecond
 	if over := l.clockAt.Add(slowClockDuration(left)); over.After(l.leasesEnd) {
 		l.leasesEnd = over
--- a/driver/life_test.go
+++ b/driver/life_test.go
@@ -210,7 +210,7 @@
 
 	ginkgo.It("may keep a lease set by the previous life's clock for the longest time that workers grant", func(ctx context.Context) {
 		d, l := attachedDriver(ctx)
-		d.LeaseMost = 10 * time.Second
+		d.MaxWorkerLease = 10 * time.Second
 		Expect(answer(d, l, bornAfter, true)).To(Succeed())
 		Expect(time.Until(l.leasesEnd)).To(BeNumerically(">", 9*time.Second))
 	})
@@ -254,7 +254,7 @@
 
 	ginkgo.It("is missing in this cell once its entry is in a rack of another cell", func(ctx context.Context) {
 		d, l := attachedDriver(ctx)
-		d.Mine = func(rack string) bool { return rack != "theirs" }
+		d.OwnsRack = func(rack string) bool { return rack != "theirs" }
 		d.applyDirectory([]Entry{{Ver: 2, Worker: cell.Worker{ID: "w", Born: bornAfter, Addr: "b", Rack: "theirs"}}})
 		Expect(l.missingSince).NotTo(BeZero())
 	})
--- a/driver/link.go
+++ b/driver/link.go
@@ -76,7 +76,7 @@
 		fence: max(d.Claim.Epoch()*fencesPerEpoch, d.topFence),
 	}
 	// A former owner that is still alive sends its last orders before its cell lease expires.
-	l.leasesEnd = d.startedAt.Add(d.Former + claim.Margin + slowClockDuration(d.Lease))
+	l.leasesEnd = d.startedAt.Add(d.FormerGrace + claim.TakeoverMargin + slowClockDuration(d.WorkerLease))
 	d.links[id] = l
 	l.attachSlots = d.attachSlotsOf(hall)
 	d.workerListChanged = true
--- a/driver/load.go
+++ b/driver/load.go
@@ -93,13 +93,13 @@
 		if err == nil {
 			d.scannedVer = r.minVer()
 			d.restore(r.jobs(), r.records.Rows, r.records.Bad)
-			d.Heard(d.Succeeded())
+			d.ApplySuccesses(d.ReportedSuccesses())
 			d.restoreWorkerList(r.workerList.Rows)
 			return true
 		}
 		level.Warn(d.Log).Log("event", "load_failed", "cell", d.Name, "epoch", d.Claim.Epoch(), "took_ms", clock.Since(begun).Milliseconds(), "err", err)
-		if clock.Since(begun) > loadTimeout && d.Reachable() {
-			go d.LoadTimedOut()
+		if clock.Since(begun) > loadTimeout && d.StoreReachable() {
+			go d.OnLoadTimeout()
 			return false
 		}
 		d.sleep(readRetryDelay)
--- a/driver/ports.go
+++ b/driver/ports.go
@@ -27,8 +27,8 @@
 	Text   string
 	Saved  string
 	Ticket string
-	// UntilMS is when the run's lease ends, by the worker's clock in milliseconds.
-	UntilMS int64
+	// LeaseUntilMS is when the run's lease ends, by the worker's clock in milliseconds.
+	LeaseUntilMS int64
 }
 
 // StartAnswer is the answer to a StartOrder.
@@ -59,22 +59,22 @@
 	// Observed is the number of the last end that is persisted: the worker may forget ends up to
 	// it.
 	Observed int
-	// UntilMS is when the leases end, by the worker's clock in milliseconds; 0 leaves them
+	// LeaseUntilMS is when the leases end, by the worker's clock in milliseconds; 0 leaves them
 	// unchanged.
-	UntilMS int64
+	LeaseUntilMS int64
 	// Wait is how long the worker may wait for a run to end before it answers.
 	Wait time.Duration
-	// Brief asks for the ended runs only, if there are any. Only carriers act on it: a worker
+	// EndsOnly asks for the ended runs only, if there are any. Only carriers act on it: a worker
 	// always lists everything.
-	Brief bool
+	EndsOnly bool
 }
 
 // HoldAnswer is the answer to a HoldOrder.
 type HoldAnswer struct {
 	ClockMS int64
 	Lists   cell.Lists
-	// Brief says that the running runs are omitted.
-	Brief bool
+	// EndsOnly says that the running runs are omitted.
+	EndsOnly bool
 }
 
 // Workers sends orders to workers. Errors are of kind Fenced (the worker has seen a higher fence),
@@ -92,9 +92,9 @@
 	cell.Worker
 	// Ver is the version of the entry. Entries with a lower version are older.
 	Ver uint64
-	// Bad says why the entry is invalid, "" if it is valid. Only the id and version of an invalid
+	// Invalid says why the entry is invalid, "" if it is valid. Only the id and version of an invalid
 	// entry are used.
-	Bad string
+	Invalid string
 }
 
 // Directory lists the workers.
--- a/driver/retention_test.go
+++ b/driver/retention_test.go
@@ -34,7 +34,7 @@
 		}})
 		Expect(err).NotTo(HaveOccurred())
 		d := newDriver(ctx, t, func() {})
-		d.Keep = keep
+		d.Retention = keep
 		Expect(d.load()).To(BeTrue())
 		return t, d
 	}
@@ -87,7 +87,7 @@
 		d := newDriver(ctx, newMemStore(), func() {})
 		defer d.Close()
 		Expect(d.load()).To(BeTrue())
-		spec := flow.Spec{ID: "1", Cell: "c", Queue: "q", Steps: []flow.Step{{Count: 1}}, AcceptedMS: time.Now().Add(-2 * d.Keep).UnixMilli()}
+		spec := flow.Spec{ID: "1", Cell: "c", Queue: "q", Steps: []flow.Step{{Count: 1}}, AcceptedMS: time.Now().Add(-2 * d.Retention).UnixMilli()}
 		d.addFound([]rows.Row{{Key: SpecKey("1"), Value: flow.Encode(spec), Ver: d.scannedVer + 1}})
 		Expect(d.cell.Known("1")).To(BeTrue())
 	})
@@ -120,7 +120,7 @@
 		t := newMemStore()
 		d := newDriver(ctx, t, func() {})
 		defer d.Close()
-		d.Keep = time.Second
+		d.Retention = time.Second
 		d.Store = noHistoryStore{t}
 		Expect(d.load()).To(BeTrue())
 		t.putSpec("1")
@@ -147,7 +147,7 @@
 			d.commitOnce(false)
 		}
 		d.mu.Lock()
-		d.retireJobs(time.Now().Add(time.Minute + 3*d.Keep))
+		d.retireJobs(time.Now().Add(time.Minute + 3*d.Retention))
 		d.writeArchives()
 		d.mu.Unlock()
 		known := func(id string) bool {
@@ -167,7 +167,7 @@
 		t := newMemStore()
 		d := newDriver(ctx, t, func() {})
 		defer d.Close()
-		d.Keep = time.Second
+		d.Retention = time.Second
 		Expect(d.load()).To(BeTrue())
 		d.spawn(d.scan)
 		t.putSpec("7")
--- a/driver/scan.go
+++ b/driver/scan.go
@@ -132,7 +132,7 @@
 
 // isOutdated reports whether jobs read at the given time may include some that have since ended and
 // been forgotten: those would be taken for new.
-func (d *Driver) isOutdated(read time.Time) bool { return clock.Since(read) > d.Keep/2 }
+func (d *Driver) isOutdated(read time.Time) bool { return clock.Since(read) > d.Retention/2 }
 
 func (d *Driver) logScan(err error) {
 	if d.ctx.Err() == nil {
--- a/driver/seek_test.go
+++ b/driver/seek_test.go
@@ -39,7 +39,7 @@
 	ginkgo.It("makes the owner ask the policy before the leases there expire", func(ctx context.Context) {
 		w := &cutOffWorker{restartingWorker: newRestartingWorker()}
 		d := newDriver(ctx, newMemStore(), func() {})
-		d.Lease = 4 * time.Second
+		d.WorkerLease = 4 * time.Second
 		d.Workers, d.Directory = w, w
 		var asked atomic.Int64
 		d.Advise = func(_ context.Context, a cell.Ask) (Tickets, error) {
--- a/driver/share_test.go
+++ b/driver/share_test.go
@@ -52,7 +52,7 @@
 		t := newMemStore()
 		put(t)
 		d := newDriver(ctx, t, func() {})
-		d.Keep = 100 * time.Millisecond
+		d.Retention = 100 * time.Millisecond
 		d.Start()
 		defer d.Close()
 		Eventually(d.Ready).Should(BeTrue())
--- a/driver/suspend_test.go
+++ b/driver/suspend_test.go
@@ -38,7 +38,7 @@
 	case <-time.After(o.Wait):
 	case <-ctx.Done():
 	}
-	return HoldAnswer{ClockMS: 1, Brief: o.Brief}, ctx.Err()
+	return HoldAnswer{ClockMS: 1, EndsOnly: o.EndsOnly}, ctx.Err()
 }
 
 func (w *obedientWorker) All(context.Context) ([]Entry, error) {
@@ -54,7 +54,7 @@
 		lost := new(atomic.Bool)
 		o := newDriver(ctx, t, func() {})
 		o.Workers, o.Directory, o.HeardByAll = w, w, func() bool { return false }
-		o.Lost = func() { lost.Store(true) }
+		o.OnLeaseLost = func() { lost.Store(true) }
 		o.Configure([]cell.Queue{{Name: "q", Pool: "p", MaxAttempts: 1}})
 		o.Start()
 		ginkgo.DeferCleanup(o.Close)
--- a/driver/tidy.go
+++ b/driver/tidy.go
@@ -137,7 +137,7 @@
 	for _, o := range d.cell.Retire(retireAfter, now) {
 		d.staleRecords = append(d.staleRecords, o.ID)
 	}
-	for _, x := range d.cell.Expire(d.Keep, now) {
+	for _, x := range d.cell.Expire(d.Retention, now) {
 		if !x.Foreign {
 			d.forgetEnd(x.ID, x.Age, "kept")
 		}
@@ -152,7 +152,7 @@
 	d.archives.add(archive{id: id, removeLast: true})
 	d.Scope.Counter("jobs_forgotten_total").Inc(1)
 	level.Info(d.Log).Log("event", "job_forgotten", "job", id, "cell", d.Name, "epoch", d.Claim.Epoch(),
-		"over_ms", age.Milliseconds(), "keep_ms", d.Keep.Milliseconds(), "why", why, "last", true)
+		"over_ms", age.Milliseconds(), "keep_ms", d.Retention.Milliseconds(), "why", why, "last", true)
 }
 
 // sweep removes the rows of jobs that ended under former owners.
@@ -176,7 +176,7 @@
 		if err != nil || e.Cell != d.Name || d.cell.Known(r.Name) {
 			continue
 		}
-		if age := wall.Sub(time.UnixMilli(e.AtMS)); age > d.Keep+maxClockSkew {
+		if age := wall.Sub(time.UnixMilli(e.AtMS)); age > d.Retention+maxClockSkew {
 			d.forgetEnd(r.Name, age, "swept")
 		}
 	}
--- a/driver/unkept.go
+++ b/driver/unkept.go
@@ -12,9 +12,9 @@
 // second at the design size take a few messages.
 const maxUnsavedSuccesses = 256
 
-// Unkept returns jobs that have succeeded but whose end is not persisted yet, to be reported to
+// UnsavedSuccesses returns jobs that have succeeded but whose end is not persisted yet, to be reported to
 // other instances. It returns none while another instance may own the cell.
-func (d *Driver) Unkept(now time.Time) []string {
+func (d *Driver) UnsavedSuccesses(now time.Time) []string {
 	if !d.mayOrder(now) {
 		return nil
 	}
@@ -23,15 +23,15 @@
 	return d.cell.UnstoredSuccesses(maxUnsavedSuccesses, now)
 }
 
-// Shared notes that another instance knows that these jobs have succeeded.
-func (d *Driver) Shared(ids []string) {
+// SuccessesReported notes that another instance knows that these jobs have succeeded.
+func (d *Driver) SuccessesReported(ids []string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.cell.SuccessShared(ids)
 }
 
-// Heard applies reports that jobs succeeded under former owners.
-func (d *Driver) Heard(ids []string) {
+// ApplySuccesses applies reports that jobs succeeded under former owners.
+func (d *Driver) ApplySuccesses(ids []string) {
 	if len(ids) == 0 {
 		return
 	}
--- a/driver/watch.go
+++ b/driver/watch.go
@@ -91,12 +91,12 @@
 	now := clock.Now()
 	present := make(map[string]bool, len(entries))
 	for _, e := range entries {
-		if e.Bad != "" {
+		if e.Invalid != "" {
 			d.applyInvalidEntry(&e, now)
 			continue
 		}
 		// A worker id may reappear in a rack of another cell.
-		present[e.ID] = d.Mine(e.Rack)
+		present[e.ID] = d.OwnsRack(e.Rack)
 		d.applyEntry(e, now)
 	}
 	for id, link := range d.links {
@@ -109,7 +109,7 @@
 
 // applyEntry applies the entry of a worker. The lock is held.
 func (d *Driver) applyEntry(e Entry, now time.Time) {
-	if e.Gone || !d.Mine(e.Rack) {
+	if e.Gone || !d.OwnsRack(e.Rack) {
 		return
 	}
 	link := d.links[e.ID]
@@ -187,9 +187,9 @@
 		d.loggedInvalid = make(map[string]string)
 	}
 	l := d.links[e.ID]
-	if d.loggedInvalid[e.ID] != e.Bad {
-		d.loggedInvalid[e.ID] = e.Bad
-		level.Warn(d.Log).Log("event", "bad_worker_entry", "worker", e.ID, "version", e.Ver, "why", e.Bad, "known", l != nil)
+	if d.loggedInvalid[e.ID] != e.Invalid {
+		d.loggedInvalid[e.ID] = e.Invalid
+		level.Warn(d.Log).Log("event", "bad_worker_entry", "worker", e.ID, "version", e.Ver, "why", e.Invalid, "known", l != nil)
 	}
 	if l != nil && e.Ver >= l.entryVer {
 		d.entryMissing(l, now)
