--- a/claim/claim.go
+++ b/claim/claim.go
@@ -31,9 +31,9 @@
 
 // An owner may send orders to workers for a while after its last write, and the lease states for
 // how long (its validity). Another instance may take the lease only once it has not been written
-// for the validity plus TakeoverMargin. The validity lies between MinValidity and MaxValidity and grows with
-// the time that writes take. MinValidity is twice the write interval of a live owner; after an owner
-// fails, nothing starts for at least that long.
+// for the validity plus TakeoverMargin. The validity lies between MinValidity and MaxValidity and
+// grows with the time that writes take. MinValidity is twice the write interval of a live owner;
+// after an owner fails, nothing starts for at least that long.
 const (
 	MinValidity    = 400 * time.Millisecond
 	MaxValidity    = 2 * time.Second
@@ -42,10 +42,10 @@
 	writesPerValidity = 3
 )
 
-// AbsentTakeoverDelay is the extra time for which an instance that the lease names as absent must wait
-// before it takes the lease. For as long, an owner without access to the store may go on although
-// the absent instances do not answer it: before this, an instance that was lost shortly before a
-// store outage blocked all orders for the length of the outage (4.2 s).
+// AbsentTakeoverDelay is the extra time for which an instance that the lease names as absent must
+// wait before it takes the lease. For as long, an owner without access to the store may go on
+// although the absent instances do not answer it: before this, an instance that was lost shortly
+// before a store outage blocked all orders for the length of the outage (4.2 s).
 const AbsentTakeoverDelay = 8 * time.Second
 
 // DefaultExpiry is how long a lease that states no validity may go unwritten before it may be taken.
@@ -165,8 +165,8 @@
 	Absent []string
 }
 
-// ExemptInstances returns the instances that need not answer the owner: an owner whose lease is no longer
-// valid may go on while all other instances answer it.
+// ExemptInstances returns the instances that need not answer the owner: an owner whose lease is no
+// longer valid may go on while all other instances answer it.
 func (w Write) ExemptInstances(now time.Time) []string {
 	if now.Sub(w.Begun) < AbsentTakeoverDelay {
 		return w.Absent
@@ -175,7 +175,7 @@
 }
 
 // Claim takes, renews and releases the lease of a cell on behalf of one instance. Its exported
-// fields must be set before use. Only Epoch, Held, Valid and Written may be called concurrently
+// fields must be set before use. Only Epoch, Held, Valid and LastWrite may be called concurrently
 // with other methods.
 type Claim struct {
 	Store rows.Store
@@ -200,8 +200,8 @@
 // Epoch returns the epoch under which the lease was taken.
 func (c *Claim) Epoch() uint64 { return c.epoch }
 
-// LastWrite returns the last write that took effect. No other instance can hold the lease while it is
-// valid.
+// LastWrite returns the last write that took effect. No other instance can hold the lease while it
+// is valid.
 func (c *Claim) LastWrite() Write {
 	if w := c.lastWrite.Load(); w != nil {
 		return *w
--- a/driver/driver.go
+++ b/driver/driver.go
@@ -28,11 +28,12 @@
 	Name string
 	// OwnsRack reports whether the workers of a rack belong to this cell.
 	OwnsRack func(rack string) bool
-	// WorkerLease is how long runs on a worker go on without a renewal, and MaxWorkerLease the longest lease
-	// that a worker grants, whatever it is told. A MaxWorkerLease of 0 stands for WorkerLease.
+	// WorkerLease is how long runs on a worker go on without a renewal, and MaxWorkerLease the
+	// longest lease that a worker grants, whatever it is told. A MaxWorkerLease of 0 stands for
+	// WorkerLease.
 	WorkerLease, MaxWorkerLease time.Duration
-	// FormerGrace is for how long after this instance took the cell lease a former owner may still send
-	// orders.
+	// FormerGrace is for how long after this instance took the cell lease a former owner may still
+	// send orders.
 	FormerGrace time.Duration
 	// Retention is how long clients can query a job after its end.
 	Retention time.Duration
@@ -47,13 +48,14 @@
 	Directory Directory
 	// LinkRate is the capacity of this instance's network link in bytes per second, 0 if unknown.
 	LinkRate int
-	// Advise asks the policy, and Callers returns how many such requests may be in flight at once.
+	// Advise asks the policy, and AskLimit returns how many such requests may be in flight at once.
 	Advise   func(ctx context.Context, a cell.Ask) (Tickets, error)
 	AskLimit func() int
 	// HeardByAll reports whether every instance that might take the cell lease is known to have
 	// heard from this one recently.
 	HeardByAll func() bool
-	// ReportedSuccesses returns the jobs that, as other instances have told this one, have succeeded.
+	// ReportedSuccesses returns the jobs that, as other instances have told this one, have
+	// succeeded.
 	ReportedSuccesses func() []string
 	// OnLeaseLost is called when another instance holds the cell lease.
 	OnLeaseLost func()
--- a/driver/leaving_test.go
+++ b/driver/leaving_test.go
@@ -128,8 +128,8 @@
 }
 
 var _ = ginkgo.Describe("an end listed while its worker is to be attached again", func() {
-	// stopAndLeave starts a run on a worker, loses an order to it, and lets the run end and the worker
-	// disappear while another worker is free.
+	// stopAndLeave starts a run on a worker, loses an order to it, and lets the run end and the
+	// worker disappear while another worker is free.
 	stopAndLeave := func(ctx context.Context, w *dyingWorker) *Driver {
 		t, workers := newMemStore(), &growingDirectory{}
 		t.putSpec("0")
--- a/driver/life_test.go
+++ b/driver/life_test.go
@@ -172,8 +172,8 @@
 		Expect(w.forgot).To(BeFalse())
 	})
 
-	// attachedDriver returns a driver whose link is attached to a worker's life and which sends nothing by
-	// itself.
+	// attachedDriver returns a driver whose link is attached to a worker's life and which sends
+	// nothing by itself.
 	attachedDriver := func(ctx context.Context) (*Driver, *link) {
 		d := newDriver(ctx, newMemStore(), func() {})
 		d.cancel()
--- a/driver/ports.go
+++ b/driver/ports.go
@@ -92,8 +92,8 @@
 	cell.Worker
 	// Ver is the version of the entry. Entries with a lower version are older.
 	Ver uint64
-	// Invalid says why the entry is invalid, "" if it is valid. Only the id and version of an invalid
-	// entry are used.
+	// Invalid says why the entry is invalid, "" if it is valid. Only the id and version of an
+	// invalid entry are used.
 	Invalid string
 }
 
--- a/driver/unkept.go
+++ b/driver/successes.go
@@ -12,8 +12,8 @@
 // second at the design size take a few messages.
 const maxUnsavedSuccesses = 256
 
-// UnsavedSuccesses returns jobs that have succeeded but whose end is not persisted yet, to be reported to
-// other instances. It returns none while another instance may own the cell.
+// UnsavedSuccesses returns jobs that have succeeded but whose end is not persisted yet, to be
+// reported to other instances. It returns none while another instance may own the cell.
 func (d *Driver) UnsavedSuccesses(now time.Time) []string {
 	if !d.mayOrder(now) {
 		return nil
