--- a/driver/foreign_test.go
+++ b/driver/foreign_test.go
@@ -108,7 +108,7 @@
 		}
 	})
 
-	ginkgo.It("with an invalid specification does not keep other jobs from loading", func(ctx context.Context) {
+	ginkgo.It("does not keep other jobs from loading, nor does one whose specification is invalid", func(ctx context.Context) {
 		d := newDriver(ctx, newMemStore(), func() {})
 		defer d.Close()
 		odd := rows.Row{Key: SpecKey("9"), Value: []byte(`{"id":"9","cell":"c","steps":[{"count":-1}]}`), Ver: 1}
