--- a/cluster/carry.go
+++ b/cluster/carry.go
@@ -171,7 +171,7 @@
 	wait := time.Duration(m.WaitMs) * time.Millisecond
 	ctx, cancel := context.WithTimeout(ctx, wait+time.Duration(m.LimitMs)*time.Millisecond)
 	defer cancel()
-	a, err := n.Carrier.Hold(ctx, driver.HoldOrder{
+	a, err := n.RelayWorkers.Hold(ctx, driver.HoldOrder{
 		Target:   driver.Target{Worker: m.Worker, Addr: m.Addr, Fence: m.Fence},
 		Observed: int(m.Observed), LeaseUntilMS: m.UntilMs, Wait: wait,
 	})
@@ -218,7 +218,7 @@
 	ctx, cancel := context.WithTimeout(ctx, time.Duration(o.LimitUs)*time.Microsecond)
 	defer cancel()
 	sent := clock.Now()
-	a, err := n.Carrier.Start(ctx, driver.StartOrder{
+	a, err := n.RelayWorkers.Start(ctx, driver.StartOrder{
 		Target: driver.Target{Worker: o.Worker, Addr: o.Addr, Fence: o.Fence},
 		Task:   flow.TaskID{Job: m.Job, Time: int(m.Time), Step: int(m.Step), Index: int(o.Index)},
 		Run:    int(o.Run), Text: m.Text, Saved: o.Saved, Ticket: o.Ticket, LeaseUntilMS: o.UntilMs,
--- a/cluster/carry_test.go
+++ b/cluster/carry_test.go
@@ -65,7 +65,7 @@
 
 	It("reach the workers as the owner gave them, each with its own result", func(ctx context.Context) {
 		n, w := testInstance(nil), &recordingWorkers{}
-		n.Carrier = w
+		n.RelayWorkers = w
 		orders := []driver.StartOrder{order("good", 3), order("full", 4), order("gone", 5)}
 		got, err := sendToRelay(ctx, n, orders, "text")
 		Expect(err).NotTo(HaveOccurred())
@@ -78,7 +78,7 @@
 
 	It("contain the text of a job only once", func(ctx context.Context) {
 		n, w := testInstance(nil), &recordingWorkers{}
-		n.Carrier = w
+		n.RelayWorkers = w
 		_, err := sendToRelay(ctx, n, []driver.StartOrder{order("good", 0)}, "")
 		Expect(kind.Is(err, kind.Conflict)).To(BeTrue(), "the relay does not have the text")
 		Expect(w.starts).To(BeEmpty())
@@ -92,7 +92,7 @@
 
 	It("omit running tasks only if a brief answer is wanted and there are finished ones", func(ctx context.Context) {
 		n, w := testInstance(nil), &recordingWorkers{}
-		n.Carrier = w
+		n.RelayWorkers = w
 		hold := func(worker string, brief bool) (driver.HoldAnswer, error) {
 			reply, err := n.handle(ctx, &wire.Request{Body: &wire.Request_Hold{Hold: &wire.HoldOrder{Worker: worker, Brief: brief}}})
 			Expect(err).NotTo(HaveOccurred())
--- a/cluster/instance.go
+++ b/cluster/instance.go
@@ -40,11 +40,11 @@
 	// Store is this instance's direct connection to the store of rows.
 	Store   rows.Store
 	Workers driver.Workers
-	// Carrier sends orders on behalf of other owners. It keeps few connections open, since every
+	// RelayWorkers sends orders on behalf of other owners. It keeps few connections open, since every
 	// instance may have to do so.
-	Carrier   driver.Workers
-	Directory func(rows.Store) driver.Directory
-	Configs   func(rows.Store) ConfigSource
+	RelayWorkers driver.Workers
+	Directory    func(rows.Store) driver.Directory
+	Configs      func(rows.Store) ConfigSource
 	// Upkeep is nil if the platform has no list of machines.
 	Upkeep func(rows.Store) upkeep.Platform
 	// ParseConfig parses a configuration received from a peer.
