--- a/cell/account_test.go
+++ b/cell/account_test.go
@@ -27,7 +27,7 @@
 	r.JobStored(id)
 }
 
-func limit(cpu, mem int64) sched.Vec { return sched.Vec{sched.Milli: cpu, sched.MiB: mem} }
+func limit(cpu, mem int64) sched.Vec { return sched.Vec{sched.MilliCPU: cpu, sched.MemoryMiB: mem} }
 
 func TestAccountRunsNoMoreThanItsLimit(t *testing.T) {
 	g := NewWithT(t)
--- a/cell/advice.go
+++ b/cell/advice.go
@@ -418,7 +418,7 @@
 		out = append(out, askCandidate{worker: w, known: known})
 	}
 	slices.SortStableFunc(out, func(x, y askCandidate) int {
-		return cmp.Or(compareBools(y.known, x.known), cmp.Compare(y.free[sched.Milli], x.free[sched.Milli]))
+		return cmp.Or(compareBools(y.known, x.known), cmp.Compare(y.free[sched.MilliCPU], x.free[sched.MilliCPU]))
 	})
 	return out
 }
--- a/cell/ask_load_test.go
+++ b/cell/ask_load_test.go
@@ -28,11 +28,11 @@
 			Advice: &Advice{Decide: 13 * time.Millisecond, Each: 190 * time.Microsecond, Valid: 2 * time.Second}},
 	}, map[string]float64{"call": 0.7})
 	for i := range 250 {
-		room := sched.Vec{sched.Milli: 32_000, sched.MiB: 131_072, sched.Slots: plenty, sched.Conns: plenty}
+		room := sched.Vec{sched.MilliCPU: 32_000, sched.MemoryMiB: 131_072, sched.Slots: plenty, sched.Connections: plenty}
 		r.worker(fmt.Sprintf("w%03d", i), fmt.Sprintf("h%d", i%4), fmt.Sprintf("r%d", i/8), room, 1)
 	}
 	r.arrivalsAt(20*time.Second, func(time.Duration) float64 { return 45 }, func(at time.Duration, n int) {
-		step := flow.Step{Count: 1 + min(int(r.rng.ExpFloat64()*9), 35), Demand: sched.Vec{sched.Milli: 5_300, sched.MiB: 9_000}}
+		step := flow.Step{Count: 1 + min(int(r.rng.ExpFloat64()*9), 35), Demand: sched.Vec{sched.MilliCPU: 5_300, sched.MemoryMiB: 9_000}}
 		r.job(at, fmt.Sprintf("c%04d", n), "call", 1+n%3, step, 560*time.Millisecond)
 	})
 	return r
--- a/cell/batch_load_test.go
+++ b/cell/batch_load_test.go
@@ -30,7 +30,7 @@
 	sizes, speeds := []int64{2, 2, 1, 4}, []float64{1, 1, 1.3}
 	for i := range 350 {
 		size := sizes[i%len(sizes)]
-		room := sched.Vec{sched.Milli: 16_000 * size, sched.MiB: 32_768 * size, sched.Slots: plenty, sched.Conns: plenty}
+		room := sched.Vec{sched.MilliCPU: 16_000 * size, sched.MemoryMiB: 32_768 * size, sched.Slots: plenty, sched.Connections: plenty}
 		r.worker(fmt.Sprintf("w%03d", i), fmt.Sprintf("h%d", i%3), fmt.Sprintf("r%d", i/20), room, speeds[i%len(speeds)])
 	}
 	burst := func(rate, times float64, from time.Duration) func(time.Duration) float64 {
@@ -45,17 +45,17 @@
 		return max(1, min(int(mean*math.Exp(r.rng.NormFloat64()*by-by*by/2)+0.5), most))
 	}
 	r.arrivalsAt(45*time.Second, burst(33, 2, 8*time.Second), func(at time.Duration, n int) {
-		step := flow.Step{Count: spread(9.5, 0.8, 57), Demand: sched.Vec{sched.Milli: int64(spread(4500, 0.45, 13_000)), sched.MiB: int64(spread(6400, 0.6, 19_000))}}
+		step := flow.Step{Count: spread(9.5, 0.8, 57), Demand: sched.Vec{sched.MilliCPU: int64(spread(4500, 0.45, 13_000)), sched.MemoryMiB: int64(spread(6400, 0.6, 19_000))}}
 		r.job(at, fmt.Sprintf("c%04d", n), "call", 1+min(n%5/2, 1), step, 640*time.Millisecond)
 	})
 	r.arrivalsAt(45*time.Second, burst(6, 1.8, 20*time.Second), func(at time.Duration, n int) {
 		step := flow.Step{Count: spread(21, 0.6, 100), Checkpoints: r.rng.Float64() < 0.8,
-			Demand: sched.Vec{sched.Milli: int64(spread(9000, 0.4, 15_000)), sched.MiB: int64(spread(9100, 0.5, 18_000))}}
+			Demand: sched.Vec{sched.MilliCPU: int64(spread(9000, 0.4, 15_000)), sched.MemoryMiB: int64(spread(9100, 0.5, 18_000))}}
 		r.job(at, fmt.Sprintf("b%04d", n), "batch", 1+n%3, step, 3800*time.Millisecond)
 	})
 	lasting := func(at time.Duration, id string) {
 		step := flow.Step{Count: spread(20, 0.8, 120), Lasting: true,
-			Demand: sched.Vec{sched.Milli: int64(spread(9000, 0.4, 15_000)), sched.MiB: int64(spread(9000, 0.5, 18_000))}}
+			Demand: sched.Vec{sched.MilliCPU: int64(spread(9000, 0.4, 15_000)), sched.MemoryMiB: int64(spread(9000, 0.5, 18_000))}}
 		r.job(at, id, "service", 1, step, time.Second)
 		stays := time.Duration(spread(45, 0.7, 140)) * time.Second
 		r.after(at+stays, func() { r.Cancel(id, r.now) })
@@ -66,7 +66,7 @@
 	r.arrivalsAt(45*time.Second, func(time.Duration) float64 { return 0.243 }, func(at time.Duration, n int) { lasting(at, fmt.Sprintf("t%04d", n)) })
 	for n := range 24 {
 		step := flow.Step{Count: spread(21, 0.6, 100), Checkpoints: r.rng.Float64() < 0.8,
-			Demand: sched.Vec{sched.Milli: int64(spread(9000, 0.4, 15_000)), sched.MiB: int64(spread(9100, 0.5, 18_000))}}
+			Demand: sched.Vec{sched.MilliCPU: int64(spread(9000, 0.4, 15_000)), sched.MemoryMiB: int64(spread(9100, 0.5, 18_000))}}
 		r.job(0, fmt.Sprintf("a%04d", n), "batch", 1+n%3, step, 3800*time.Millisecond)
 	}
 	return r
--- a/cell/cell.go
+++ b/cell/cell.go
@@ -160,7 +160,7 @@
 		l.Attached++
 		l.Room = l.Room.Add(w.Room)
 		l.Free = l.Free.Add(w.free)
-		l.Halls[w.Hall] += max(w.free[sched.Milli], 0)
+		l.Halls[w.Hall] += max(w.free[sched.MilliCPU], 0)
 	}
 	for _, s := range c.openStages {
 		if s.waiting > 0 && s.ready() {
--- a/cell/cell_test.go
+++ b/cell/cell_test.go
@@ -29,10 +29,10 @@
 const plenty = 1 << 30
 
 func vec(cpu, mem int64) sched.Vec {
-	return sched.Vec{sched.Milli: cpu, sched.MiB: mem, sched.Slots: plenty, sched.Conns: plenty}
+	return sched.Vec{sched.MilliCPU: cpu, sched.MemoryMiB: mem, sched.Slots: plenty, sched.Connections: plenty}
 }
 
-func demand(cpu int64) sched.Vec { return sched.Vec{sched.Milli: cpu, sched.MiB: 100} }
+func demand(cpu int64) sched.Vec { return sched.Vec{sched.MilliCPU: cpu, sched.MemoryMiB: 100} }
 
 func newRig(workers int) *rig {
 	r := &rig{Cell: New(1 << 12), now: time.Unix(1_000_000, 0), ends: make(map[string]int)}
--- a/cell/choose.go
+++ b/cell/choose.go
@@ -65,7 +65,7 @@
 	left := w.free.Sub(*room)
 	score := -left.Share(w.Room)
 	if s.def.Fills {
-		score = float64(w.free[sched.Milli]) / float64(max(w.Room[sched.Milli], 1))
+		score = float64(w.free[sched.MilliCPU]) / float64(max(w.Room[sched.MilliCPU], 1))
 	}
 	if s.def.Near != "" && slices.Contains(w.Labels, s.def.Near) {
 		score += nearBonus
@@ -109,7 +109,7 @@
 	room := make(map[string]int64)
 	for p := range c.permits(s, q, now) {
 		if p.worker.usable() && p.worker.suits(s, q) {
-			room[p.worker.Hall] += p.worker.free[sched.Milli]
+			room[p.worker.Hall] += p.worker.free[sched.MilliCPU]
 		}
 	}
 	best := room[s.job.hall] * hallSwitchFactor
--- a/cell/job.go
+++ b/cell/job.go
@@ -142,8 +142,8 @@
 func (j *job) waitingWork() int64 {
 	var sum int64
 	for _, s := range j.stages {
-		if !s.def.Lasting && s.def.Demand[sched.Milli] > 0 {
-			sum += int64(s.waiting) * s.def.EstimateMS * s.def.Demand[sched.Milli] / 1000
+		if !s.def.Lasting && s.def.Demand[sched.MilliCPU] > 0 {
+			sum += int64(s.waiting) * s.def.EstimateMS * s.def.Demand[sched.MilliCPU] / 1000
 		}
 	}
 	return sum
--- a/cell/large_load_test.go
+++ b/cell/large_load_test.go
@@ -32,13 +32,13 @@
 	}, map[string]float64{"large": 0.3, "small": 0.45})
 	speeds := []float64{0.8, 1, 1.25}
 	for i := range 13 {
-		room := sched.Vec{sched.Milli: 64_000, sched.MiB: 131_072, sched.Accel: 8, sched.Slots: plenty, sched.Conns: plenty}
+		room := sched.Vec{sched.MilliCPU: 64_000, sched.MemoryMiB: 131_072, sched.Accelerators: 8, sched.Slots: plenty, sched.Connections: plenty}
 		r.worker(fmt.Sprintf("w%02d", i), fmt.Sprintf("h%d", i%4), fmt.Sprintf("r%d", i/3), room, speeds[i%3])
 	}
 	r.arrivalsAt(time.Minute, func(time.Duration) float64 { return 1.6 }, func(at time.Duration, n int) {
 		step := flow.Step{
 			Count: 1 + min(int(r.rng.ExpFloat64()*0.9), 4), Gang: gang, Checkpoints: r.rng.Float64() < 0.9,
-			Demand: sched.Vec{sched.Milli: 31_000, sched.MiB: 45_000, sched.Accel: []int64{2, 4, 8, 8}[r.rng.IntN(4)]},
+			Demand: sched.Vec{sched.MilliCPU: 31_000, sched.MemoryMiB: 45_000, sched.Accelerators: []int64{2, 4, 8, 8}[r.rng.IntN(4)]},
 		}
 		r.job(at, fmt.Sprintf("g%04d", n), "large", 1, step, 3600*time.Millisecond)
 	})
@@ -51,7 +51,7 @@
 	r.arrivalsAt(time.Minute, smallRate, func(at time.Duration, n int) {
 		step := flow.Step{
 			Count: 1 + min(int(r.rng.ExpFloat64()*3.1), 19), Checkpoints: r.rng.Float64() < 0.8,
-			Demand: sched.Vec{sched.Milli: 5_600, sched.MiB: 11_000, sched.Accel: 1},
+			Demand: sched.Vec{sched.MilliCPU: 5_600, sched.MemoryMiB: 11_000, sched.Accelerators: 1},
 		}
 		r.job(at, fmt.Sprintf("s%04d", n), "small", 1, step, 3800*time.Millisecond)
 	})
--- a/cell/link_test.go
+++ b/cell/link_test.go
@@ -25,7 +25,7 @@
 	c := New(0)
 	c.Configure([]Queue{{Name: "calls", Pool: "p", Priority: 0}, {Name: "batch", Pool: "p", Priority: 2}})
 	now := time.Unix(1000, 0)
-	room := sched.Vec{sched.Milli: 1 << 40, sched.MiB: 1 << 40, sched.Slots: plenty, sched.Conns: plenty}
+	room := sched.Vec{sched.MilliCPU: 1 << 40, sched.MemoryMiB: 1 << 40, sched.Slots: plenty, sched.Connections: plenty}
 	for i := range 20 {
 		id := fmt.Sprintf("w%02d", i)
 		c.Heard(Worker{ID: id, Pool: "p", Hall: "h", Room: room}, now)
@@ -33,7 +33,7 @@
 	}
 	submit := func(id, queue string, tasks int) {
 		spec := &flow.Spec{ID: id, Queue: queue, Cell: "c", Hall: "h", Text: strings.Repeat("x", 700),
-			Steps: []flow.Step{{Count: tasks, Demand: sched.Vec{sched.Milli: 100, sched.MiB: 100}, EstimateMS: 1000}}}
+			Steps: []flow.Step{{Count: tasks, Demand: sched.Vec{sched.MilliCPU: 100, sched.MemoryMiB: 100}, EstimateMS: 1000}}}
 		c.Submit(spec, now, now)
 		c.JobStored(id)
 	}
@@ -99,7 +99,7 @@
 	pollWait := func(steps ...flow.Step) time.Duration {
 		c := New(0)
 		c.Configure([]Queue{{Name: "q", Pool: "p"}})
-		c.Heard(Worker{ID: "w", Pool: "p", Hall: "h", Room: sched.Vec{sched.Milli: 1 << 30, sched.MiB: 1 << 30}}, now)
+		c.Heard(Worker{ID: "w", Pool: "p", Hall: "h", Room: sched.Vec{sched.MilliCPU: 1 << 30, sched.MemoryMiB: 1 << 30}}, now)
 		c.Attached("w", Lists{}, now)
 		c.Submit(&flow.Spec{ID: "j", Queue: "q", Cell: "c", Hall: "h", Steps: steps}, now, now)
 		c.JobStored("j")
--- a/cell/replay_test.go
+++ b/cell/replay_test.go
@@ -291,7 +291,7 @@
 		saved = "left " + (run.length - worked).String()
 	} else {
 		d := run.step.Demand
-		r.discardedWork += worked.Seconds() * (float64(d[sched.Milli])/1000 + 8*float64(d[sched.Accel]))
+		r.discardedWork += worked.Seconds() * (float64(d[sched.MilliCPU])/1000 + 8*float64(d[sched.Accelerators]))
 	}
 	r.end(run, flow.EndStopped, saved)
 }
--- a/cell/reserve_test.go
+++ b/cell/reserve_test.go
@@ -126,10 +126,10 @@
 	It("has no tasks stopped that use none of what is short", func() {
 		r := newRig(0)
 		r.Configure(queues)
-		r.heard("w", func(w *Worker) { w.Room[sched.Accel] = 1 })
+		r.heard("w", func(w *Worker) { w.Room[sched.Accelerators] = 1 })
 		r.Attached("w", Lists{}, r.now)
 		accel := demand(100)
-		accel[sched.Accel] = 1
+		accel[sched.Accelerators] = 1
 		submit(r, "a", "later", flow.Step{Count: 1, Demand: accel, Checkpoints: true})
 		holder := r.startAll()[0]
 		r.now = r.now.Add(time.Second)
--- a/cluster/greet.go
+++ b/cluster/greet.go
@@ -50,7 +50,7 @@
 		load := d.Load()
 		sum := &wire.CellSummary{
 			Name: name, Epoch: d.Claim.Epoch(), Ready: d.Ready(), Keeps: n.storeClient.Reachable(),
-			Room: load.Room[sched.Milli], Free: load.Free[sched.Milli], Waiting: load.Waiting,
+			Room: load.Room[sched.MilliCPU], Free: load.Free[sched.MilliCPU], Waiting: load.Waiting,
 			LeaseVer: written.Ver, LeaseAgeUs: uint64(clock.Since(written.Begun).Microseconds()),
 		}
 		sum.Pending = pendingOf(load)
--- a/cluster/jobs.go
+++ b/cluster/jobs.go
@@ -83,7 +83,7 @@
 			continue
 		}
 		l := c.driver.Load()
-		out = append(out, candidate{cell: name, load: relativeLoad(l.Room[sched.Milli], l.Free[sched.Milli], l.Waiting) - n.localityGain(spec, name)})
+		out = append(out, candidate{cell: name, load: relativeLoad(l.Room[sched.MilliCPU], l.Free[sched.MilliCPU], l.Waiting) - n.localityGain(spec, name)})
 	}
 	for _, o := range n.members.cells(clock.Now()) {
 		if !o.cell.Ready || own[o.cell.Name] != nil {
--- a/driver/carry_test.go
+++ b/driver/carry_test.go
@@ -117,7 +117,7 @@
 func (roomyDirectory) All(context.Context) ([]Entry, error) {
 	var all []Entry
 	for _, id := range strings.Split("abcdefghijklmnopqrst", "") {
-		room := sched.Vec{sched.Milli: 1 << 40, sched.MiB: 1 << 40, sched.Slots: 1 << 20, sched.Conns: 1 << 20}
+		room := sched.Vec{sched.MilliCPU: 1 << 40, sched.MemoryMiB: 1 << 40, sched.Slots: 1 << 20, sched.Connections: 1 << 20}
 		all = append(all, Entry{Worker: cell.Worker{ID: id, Addr: id, Pool: "p", Hall: "h", Room: room}, Ver: 1})
 	}
 	return all, nil
@@ -228,7 +228,7 @@
 		defer d.mu.Unlock()
 		now := time.Now()
 		d.cell.Configure([]cell.Queue{{Name: "q", Pool: "p", MaxAttempts: 1}})
-		d.cell.Heard(cell.Worker{ID: "w", Pool: "p", Hall: "h", Room: sched.Vec{sched.Milli: 1000, sched.MiB: 1000}}, now)
+		d.cell.Heard(cell.Worker{ID: "w", Pool: "p", Hall: "h", Room: sched.Vec{sched.MilliCPU: 1000, sched.MemoryMiB: 1000}}, now)
 		d.cell.Attached("w", cell.Lists{}, now)
 		d.cell.Submit(&flow.Spec{ID: "0", Cell: "c", Queue: "q", Hall: "h", Steps: []flow.Step{{Count: 1}}}, now, now)
 		d.cell.JobStored("0")
@@ -240,7 +240,7 @@
 		d.mu.Lock()
 		defer d.mu.Unlock()
 		now := time.Now()
-		d.cell.Heard(cell.Worker{ID: "v", Pool: "p", Hall: "h", Room: sched.Vec{sched.Milli: 1000, sched.MiB: 1000}}, now)
+		d.cell.Heard(cell.Worker{ID: "v", Pool: "p", Hall: "h", Room: sched.Vec{sched.MilliCPU: 1000, sched.MemoryMiB: 1000}}, now)
 		d.cell.Attached("v", cell.Lists{}, now)
 		d.dropLink(d.links["w"], cell.LossSilent, now)
 		// The crash count of the task is persisted before the task starts again.
--- a/driver/driver.go
+++ b/driver/driver.go
@@ -372,7 +372,7 @@
 		"runs_started": float64(counts.Started), "runs_done": float64(counts.Done), "runs_failed": float64(counts.Failed),
 		"runs_stopped": float64(counts.Stopped), "runs_lapsed": float64(counts.Lapsed),
 		"workers": float64(load.Workers), "workers_attached": float64(load.Attached), "stages_waiting": float64(load.Stages),
-		"room_millicores": float64(load.Room[sched.Milli]), "free_millicores": float64(load.Free[sched.Milli]),
+		"room_millicores": float64(load.Room[sched.MilliCPU]), "free_millicores": float64(load.Free[sched.MilliCPU]),
 	} {
 		d.Scope.Gauge(name).Update(v)
 	}
--- a/driver/driver_test.go
+++ b/driver/driver_test.go
@@ -334,7 +334,7 @@
 		t.putSpec("1")
 		t.putSpec("2")
 		d := newDriver(ctx, t, func() {})
-		room := sched.Vec{sched.Milli: 4000, sched.MiB: 4000}
+		room := sched.Vec{sched.MilliCPU: 4000, sched.MemoryMiB: 4000}
 		d.cell.Configure([]cell.Queue{{Name: "q", Pool: "p", MaxAttempts: 1}})
 		d.cell.Heard(cell.Worker{ID: "w", Pool: "p", Hall: "h", Room: room}, time.Now())
 		d.cell.Attached("w", cell.Lists{}, time.Now())
--- a/driver/events.go
+++ b/driver/events.go
@@ -25,8 +25,8 @@
 			"unasked", w.Unasked.All, "unasked_room", w.Unasked.Room, "unasked_yield", w.Unasked.Yield,
 			"unfit", w.Unfit.All, "unfit_room", w.Unfit.Room,
 			"account", w.Account.Name, "beyond_share", w.BeyondShare,
-			"account_cpu", w.Account.Used[sched.Milli], "maybe_cpu", w.Account.PossiblyUsed[sched.Milli], "limit_cpu", w.Account.Limit[sched.Milli],
-			"account_mem", w.Account.Used[sched.MiB], "maybe_mem", w.Account.PossiblyUsed[sched.MiB], "limit_mem", w.Account.Limit[sched.MiB])
+			"account_cpu", w.Account.Used[sched.MilliCPU], "maybe_cpu", w.Account.PossiblyUsed[sched.MilliCPU], "limit_cpu", w.Account.Limit[sched.MilliCPU],
+			"account_mem", w.Account.Used[sched.MemoryMiB], "maybe_mem", w.Account.PossiblyUsed[sched.MemoryMiB], "limit_mem", w.Account.Limit[sched.MemoryMiB])
 	}
 }
 
--- a/driver/foreign_test.go
+++ b/driver/foreign_test.go
@@ -18,7 +18,7 @@
 )
 
 var _ = ginkgo.Describe("an invalid directory entry", func() {
-	room := sched.Vec{sched.Milli: 1000, sched.MiB: 1000}
+	room := sched.Vec{sched.MilliCPU: 1000, sched.MemoryMiB: 1000}
 	good := func(ver uint64) Entry {
 		return Entry{Worker: cell.Worker{ID: "w", Addr: "w", Pool: "p", Hall: "h", Room: room}, Ver: ver}
 	}
@@ -40,7 +40,7 @@
 		now := time.Now()
 		d.cell.Configure([]cell.Queue{{Name: "q", Pool: "p", MaxAttempts: 1}})
 		d.cell.Attached("w", cell.Lists{}, now)
-		step := flow.Step{Count: 2, Demand: sched.Vec{sched.Milli: 800}}
+		step := flow.Step{Count: 2, Demand: sched.Vec{sched.MilliCPU: 800}}
 		d.cell.Submit(&flow.Spec{ID: "0", Cell: "c", Queue: "q", Hall: "h", Steps: []flow.Step{step}}, now, now)
 		d.cell.JobStored("0")
 		return d
--- a/driver/leaving_late_test.go
+++ b/driver/leaving_late_test.go
@@ -42,7 +42,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.reads++
-	room := sched.Vec{sched.Milli: 1000, sched.MiB: 1000}
+	room := sched.Vec{sched.MilliCPU: 1000, sched.MemoryMiB: 1000}
 	one := cell.Worker{ID: "w", Addr: "w", Pool: "p", Hall: "h", Room: room}
 	if w.reads == 1 {
 		w.leaves = time.Now().Add(timeToLeave)
--- a/driver/leaving_test.go
+++ b/driver/leaving_test.go
@@ -117,7 +117,7 @@
 }
 
 func (d *growingDirectory) All(context.Context) ([]Entry, error) {
-	room := sched.Vec{sched.Milli: 1000, sched.MiB: 1000}
+	room := sched.Vec{sched.MilliCPU: 1000, sched.MemoryMiB: 1000}
 	all := []Entry{{Worker: cell.Worker{ID: "w", Addr: "w", Pool: "p", Hall: "h", Room: room}, Ver: 1}}
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/driver/life_test.go
+++ b/driver/life_test.go
@@ -98,7 +98,7 @@
 func (w *restartingWorker) All(context.Context) ([]Entry, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	one := cell.Worker{ID: "w", Born: w.born, Addr: w.addr, Pool: "p", Hall: "h", Room: sched.Vec{sched.Milli: 1000, sched.MiB: 1000}}
+	one := cell.Worker{ID: "w", Born: w.born, Addr: w.addr, Pool: "p", Hall: "h", Room: sched.Vec{sched.MilliCPU: 1000, sched.MemoryMiB: 1000}}
 	return []Entry{{Worker: one, Ver: uint64(w.born)}}, nil
 }
 
@@ -182,7 +182,7 @@
 		defer d.mu.Unlock()
 		d.cell.Configure([]cell.Queue{{Name: "q", Pool: "p", MaxAttempts: 1}})
 		now := time.Now()
-		room := sched.Vec{sched.Milli: 1000, sched.MiB: 1000}
+		room := sched.Vec{sched.MilliCPU: 1000, sched.MemoryMiB: 1000}
 		d.applyEntry(Entry{Ver: 1, Worker: cell.Worker{ID: "w", Born: bornBefore, Addr: "a", Pool: "p", Hall: "h", Room: room}}, now)
 		l := d.links["w"]
 		d.mu.Unlock()
--- a/driver/refusing_test.go
+++ b/driver/refusing_test.go
@@ -75,7 +75,7 @@
 func (s sizedDirectory) All(context.Context) ([]Entry, error) {
 	var all []Entry
 	for id, size := range s {
-		room := sched.Vec{sched.Milli: size, sched.MiB: size}
+		room := sched.Vec{sched.MilliCPU: size, sched.MemoryMiB: size}
 		all = append(all, Entry{Worker: cell.Worker{ID: id, Addr: id, Pool: "p", Hall: "h", Room: room}, Ver: 1})
 	}
 	return all, nil
@@ -85,7 +85,7 @@
 	// submitTask submits a job whose task fits best into the worker that loses orders.
 	submitTask := func(ctx context.Context, w *lossyWorkers, workers sizedDirectory) *Driver {
 		t := newMemStore()
-		spec := flow.Spec{ID: "0", Cell: "c", Queue: "q", Steps: []flow.Step{{Count: 1, Demand: sched.Vec{sched.Milli: 500, sched.MiB: 500}}}, AcceptedMS: time.Now().UnixMilli()}
+		spec := flow.Spec{ID: "0", Cell: "c", Queue: "q", Steps: []flow.Step{{Count: 1, Demand: sched.Vec{sched.MilliCPU: 500, sched.MemoryMiB: 500}}}, AcceptedMS: time.Now().UnixMilli()}
 		_, err := t.Tx(ctx, rows.Tx{Put: []rows.Row{{Key: SpecKey("0"), Value: flow.Encode(&spec)}}})
 		Expect(err).NotTo(HaveOccurred())
 		d := newDriver(ctx, t, func() {})
--- a/driver/suspend_test.go
+++ b/driver/suspend_test.go
@@ -42,7 +42,7 @@
 }
 
 func (w *obedientWorker) All(context.Context) ([]Entry, error) {
-	room := sched.Vec{sched.Milli: 1000, sched.MiB: 1000}
+	room := sched.Vec{sched.MilliCPU: 1000, sched.MemoryMiB: 1000}
 	return []Entry{{Ver: 1, Worker: cell.Worker{ID: "w", Addr: "w", Pool: "p", Hall: "h", Room: room}}}, nil
 }
 
--- a/driver/unanswered_test.go
+++ b/driver/unanswered_test.go
@@ -61,7 +61,7 @@
 type singleWorkerDirectory struct{}
 
 func (singleWorkerDirectory) All(context.Context) ([]Entry, error) {
-	room := sched.Vec{sched.Milli: 1000, sched.MiB: 1000}
+	room := sched.Vec{sched.MilliCPU: 1000, sched.MemoryMiB: 1000}
 	return []Entry{{Worker: cell.Worker{ID: "w", Addr: "w", Pool: "p", Hall: "h", Room: room}, Ver: 1}}, nil
 }
 
--- a/driver/watch_test.go
+++ b/driver/watch_test.go
@@ -45,7 +45,7 @@
 		}
 		return nil, kind.New(kind.Lost, "connection stalled")
 	}
-	w := cell.Worker{ID: "w", Addr: "a", Pool: "p", Hall: "h", Room: sched.Vec{sched.Milli: 1000}}
+	w := cell.Worker{ID: "w", Addr: "a", Pool: "p", Hall: "h", Room: sched.Vec{sched.MilliCPU: 1000}}
 	// The worker announces that it leaves right after the first read.
 	w.Draining = n > 1
 	return []Entry{{Ver: uint64(n), Worker: w}}, nil
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -122,8 +122,8 @@
 	e.owner = owner.New(work, owner.Config{
 		Name: e.keeper.Name(), Hall: s.Hall, Connect: e.workers.At,
 		Table: e.platform, Objects: e.platform, Journal: e.journal, Tree: e.register,
-		Shown:     e.keeper.Shown,
-		Elsewhere: e.elsewhere, Tell: e.tell, Lost: e.keeper.Nudge,
+		LastHeartbeat: e.keeper.Shown,
+		FindRack:      e.elsewhere, NotifyMoved: e.tell, OnOwnershipDoubt: e.keeper.Nudge,
 		Log: e.kit.Log, Scope: e.kit.Scope, Tracer: e.kit.Tracer,
 		TaskLease: time.Duration(s.TaskLease),
 	})
--- a/entry/greet.go
+++ b/entry/greet.go
@@ -226,7 +226,7 @@
 		Instance: e.settings.Instance, Hall: e.settings.Hall, Boot: e.boot,
 		PeerAddr: e.settings.Listen.Peer, Leaving: e.leaving.Load(),
 		TreeVersion: e.register.Now().Version, RacksSeq: seq, SeenRacksSeq: view.racks,
-		LeavingWorkers: e.owner.SeenLeaving(), Refusals: e.front.Refusals(),
+		LeavingWorkers: e.owner.LeavingWorkers(), Refusals: e.front.Refusals(),
 		CutOff:  e.cutOff(),
 		Members: uint32(len(e.peers.Live(e.settings.Hall, clock.Now())) + 1),
 	}
@@ -246,7 +246,7 @@
 	_, known := e.peers.Get(h.Instance)
 	e.peers.Heard(h, clock.Now())
 	if h.Hall == e.settings.Hall {
-		e.owner.Leaving(h.LeavingWorkers)
+		e.owner.MarkLeaving(h.LeavingWorkers)
 	}
 	e.front.HeardRefusals(h.Refusals)
 	if h.TreeVersion > e.register.Now().Version {
@@ -326,7 +326,7 @@
 		return nil, err
 	}
 	if s.Moved > 0 {
-		e.owner.Moved(ctx, row, s.Moved)
+		e.owner.AddMovedJob(ctx, row, s.Moved)
 		return jobReply(row), nil
 	}
 	row, err = e.owner.Submit(ctx, row)
--- a/entry/rescue.go
+++ b/entry/rescue.go
@@ -179,7 +179,7 @@
 		return err
 	}
 	level.Info(e.kit.Log).Log("msg", "job moved", "job", j.ID, "from", old.Hall, "rack", j.Rack, "state", j.State)
-	e.owner.Moved(ctx, j, next)
+	e.owner.AddMovedJob(ctx, j, next)
 	return nil
 }
 
--- a/flow/flow.go
+++ b/flow/flow.go
@@ -134,7 +134,7 @@
 func (s *Step) Room() sched.Vec {
 	v := s.Demand
 	if s.Fills {
-		v[sched.Milli] = 0
+		v[sched.MilliCPU] = 0
 	}
 	return v
 }
@@ -201,7 +201,7 @@
 	for i := range s.Steps {
 		st := &s.Steps[i]
 		if !st.Lasting {
-			sum += st.Estimate() * time.Duration(st.Count) * time.Duration(st.Demand[sched.Milli]) / 1000
+			sum += st.Estimate() * time.Duration(st.Count) * time.Duration(st.Demand[sched.MilliCPU]) / 1000
 		}
 	}
 	return sum
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -404,7 +404,7 @@
 	t.timer.Stop()
 	left := time.Duration(t.payload.MS)*time.Millisecond - t.ran
 	t.timer = time.AfterFunc(left*throttledShare, func() { w.finish(t) })
-	less := sched.Vec{sched.Milli: t.given[sched.Milli] - t.given[sched.Milli]/throttledShare}
+	less := sched.Vec{sched.MilliCPU: t.given[sched.MilliCPU] - t.given[sched.MilliCPU]/throttledShare}
 	w.regive(t, sched.Vec{}.Sub(less))
 }
 
--- a/owner/away.go
+++ b/owner/away.go
@@ -27,7 +27,7 @@
 // may start elsewhere from now on. Once the table is back, every row is read again before
 // anything is started, because jobs may have been moved. The lock is held.
 func (o *Owner) checkCutOff() {
-	sinceHeartbeat := clock.Since(o.Shown())
+	sinceHeartbeat := clock.Since(o.LastHeartbeat())
 	if sinceHeartbeat < cutOffAfter {
 		if o.cutOff {
 			o.cutOff = false
@@ -144,8 +144,8 @@
 	go o.sendAction(t, t.worker, ports.ActStop)
 }
 
-// Moved adds a job whose row was just moved to a rack of this owner.
-func (o *Owner) Moved(ctx context.Context, row job.Job, version uint64) {
+// AddMovedJob adds a job whose row was just moved to a rack of this owner.
+func (o *Owner) AddMovedJob(ctx context.Context, row job.Job, version uint64) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	r := o.racks[row.Rack]
--- a/owner/overflow.go
+++ b/owner/overflow.go
@@ -58,7 +58,7 @@
 // moveToOtherRack moves a job to another rack with room, if there is one.
 func (o *Owner) moveToOtherRack(js *jobState) {
 	t := js.task
-	h, rack, ok := o.Elsewhere(t.spec.Demand, js.rack.name)
+	h, rack, ok := o.FindRack(t.spec.Demand, js.rack.name)
 	if !ok {
 		return
 	}
@@ -90,10 +90,10 @@
 	_, own := o.racks[row.Rack]
 	o.mu.Unlock()
 	if own {
-		o.Moved(js.rack.ctx, row, version)
+		o.AddMovedJob(js.rack.ctx, row, version)
 		return
 	}
-	o.Tell(row, version)
+	o.NotifyMoved(row, version)
 }
 
 // recoverMove reads the row of a job after a move with an unknown result. The empty change
--- a/owner/owner.go
+++ b/owner/owner.go
@@ -34,17 +34,17 @@
 	Objects ports.Objects
 	Journal *commit.Journal
 	Tree    *tree.Register
-	// Shown returns the time of the instance's last heartbeat in the table.
-	Shown func() time.Time
-	// Elsewhere returns another rack with room for a demand. Tell notifies the owner of that
+	// LastHeartbeat returns the time of the instance's last heartbeat in the table.
+	LastHeartbeat func() time.Time
+	// FindRack returns another rack with room for a demand. Tell notifies the owner of that
 	// rack of a job that was moved there.
-	Elsewhere func(demand sched.Vec, not string) (hall, rack string, ok bool)
-	Tell      func(row job.Job, version uint64)
-	// Lost is called when a worker or the table indicates that another owner may have a rack.
-	Lost   func()
-	Log    log.Logger
-	Scope  tally.Scope
-	Tracer trace.Tracer
+	FindRack    func(demand sched.Vec, not string) (hall, rack string, ok bool)
+	NotifyMoved func(row job.Job, version uint64)
+	// OnOwnershipDoubt is called when a worker or the table indicates that another owner may have a rack.
+	OnOwnershipDoubt func()
+	Log              log.Logger
+	Scope            tally.Scope
+	Tracer           trace.Tracer
 	// TaskLease is how long tasks keep running on a worker that no owner contacts; 0 means
 	// DefaultTaskLease.
 	TaskLease time.Duration
@@ -203,7 +203,7 @@
 			o.reattach(w)
 		}
 	}
-	o.Lost()
+	o.OnOwnershipDoubt()
 }
 
 // removeTask removes a task from the cell and from the task maps.
--- a/owner/owner_test.go
+++ b/owner/owner_test.go
@@ -92,8 +92,8 @@
 	go j.Run(ctx)
 	o := owner.New(ctx, owner.Config{
 		Name: name, Hall: "h", Connect: connect, Table: c.table, Journal: j, Tree: c.register,
-		Shown: time.Now, Lost: func() {}, Tell: func(job.Job, uint64) {},
-		Elsewhere: func(sched.Vec, string) (string, string, bool) { return "", "", false },
+		LastHeartbeat: time.Now, OnOwnershipDoubt: func() {}, NotifyMoved: func(job.Job, uint64) {},
+		FindRack:  func(sched.Vec, string) (string, string, bool) { return "", "", false },
 		TaskLease: 2 * time.Second,
 		Log:       log.NewNopLogger(), Scope: tally.NoopScope, Tracer: noop.NewTracerProvider().Tracer(""),
 	})
--- a/owner/racks.go
+++ b/owner/racks.go
@@ -146,8 +146,8 @@
 	o.updateAvailability(w)
 }
 
-// Leaving marks workers that a peer has seen leaving.
-func (o *Owner) Leaving(names []string) {
+// MarkLeaving marks workers that a peer has seen leaving.
+func (o *Owner) MarkLeaving(names []string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	for _, name := range names {
@@ -218,9 +218,9 @@
 	return s
 }
 
-// SeenLeaving returns the workers that are leaving, by their own report or by that of the
+// LeavingWorkers returns the workers that are leaving, by their own report or by that of the
 // platform or a peer.
-func (o *Owner) SeenLeaving() []string {
+func (o *Owner) LeavingWorkers() []string {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	var out []string
--- a/owner/save.go
+++ b/owner/save.go
@@ -296,7 +296,7 @@
 	}
 	for _, r := range c.Rows {
 		if r.Key != job.RowKey(js.row.ID) {
-			o.Lost()
+			o.OnOwnershipDoubt()
 			continue
 		}
 		if j, err := job.Decode(r.Value); err == nil && r.Version > 0 && j.Rack != js.rack.name {
--- a/owner/worker.go
+++ b/owner/worker.go
@@ -181,7 +181,7 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if higher.Epoch.Table > w.rack.epoch.Table {
-		o.Lost()
+		o.OnOwnershipDoubt()
 		return
 	}
 	if w.epoch.Less(higher.Epoch) {
@@ -321,6 +321,6 @@
 	o.updateAvailability(w)
 	level.Debug(o.Log).Log("msg", "watch of worker failed", "worker", w.name, "err", err)
 	if kind.Is(err, kind.Fenced) {
-		o.Lost()
+		o.OnOwnershipDoubt()
 	}
 }
--- a/sched/plot_test.go
+++ b/sched/plot_test.go
@@ -73,10 +73,10 @@
 // ask for the given share of the processors of 48 workers.
 func scaleBatch(mix []source, share float64, worker Vec) []source {
 	out := append([]source(nil), mix...)
-	whole := float64(worker[Milli] * 48)
+	whole := float64(worker[MilliCPU] * 48)
 	var fixed, batch float64
 	for _, s := range out {
-		asks := s.rate * s.length.Seconds() * float64(s.task.Demand[Milli])
+		asks := s.rate * s.length.Seconds() * float64(s.task.Demand[MilliCPU])
 		if s.task.Call {
 			fixed += asks
 		} else {
--- a/sched/sched_test.go
+++ b/sched/sched_test.go
@@ -89,7 +89,7 @@
 					task := Task{
 						Ref: i, Rack: AnyRack, Team: TeamID(rapid.IntRange(0, 2).Draw(t, "team")),
 						Class:      Class(rapid.IntRange(0, 2).Draw(t, "class")),
-						Preemption: Ladder(rapid.IntRange(0, 7).Draw(t, "ladder")),
+						Preemption: PreemptionModes(rapid.IntRange(0, 7).Draw(t, "ladder")),
 						Call:       rapid.Bool().Draw(t, "call"),
 						Demand:     Vec{int64(rapid.IntRange(1, 4000).Draw(t, "cpu")), int64(rapid.IntRange(1, 4096).Draw(t, "mem")), 0, 1, 1},
 					}
--- a/sched/task.go
+++ b/sched/task.go
@@ -39,11 +39,11 @@
 }
 
 // PreemptionModes is the set of ways in which a task may be preempted.
-type Ladder uint8
+type PreemptionModes uint8
 
 // The ways to preempt a task, as bits of a set.
 const (
-	MayThrottle Ladder = 1 << iota
+	MayThrottle PreemptionModes = 1 << iota
 	MayCheckpoint
 	MayStop
 )
@@ -79,7 +79,7 @@
 	StartBy time.Duration
 	// Estimate is how long the task is expected to run; 0 if unknown.
 	Estimate   time.Duration
-	Preemption Ladder
+	Preemption PreemptionModes
 }
 
 // latestStart returns the latest time at which t may start and still meet its deadline.
--- a/sched/vec.go
+++ b/sched/vec.go
@@ -7,16 +7,16 @@
 
 // The dimensions of a Vec.
 const (
-	// Milli is processor time in thousandths of a processor.
-	Milli Dim = iota
-	// MiB is memory in MiB.
-	MiB
-	// Accel is a number of whole accelerators.
-	Accel
+	// MilliCPU is processor time in thousandths of a processor.
+	MilliCPU Dim = iota
+	// MemoryMiB is memory in MemoryMiB.
+	MemoryMiB
+	// Accelerators is a number of whole accelerators.
+	Accelerators
 	// Slots is the number of tasks at a time.
 	Slots
-	// Conns is the number of connections to the worker.
-	Conns
+	// Connections is the number of connections to the worker.
+	Connections
 	// NumDims is the number of dimensions.
 	NumDims
 )
@@ -55,11 +55,11 @@
 
 // Covers reports whether v is at least o in every dimension.
 func (v *Vec) Covers(o *Vec) bool {
-	return v[Milli] >= o[Milli] &&
-		v[MiB] >= o[MiB] &&
-		v[Accel] >= o[Accel] &&
+	return v[MilliCPU] >= o[MilliCPU] &&
+		v[MemoryMiB] >= o[MemoryMiB] &&
+		v[Accelerators] >= o[Accelerators] &&
 		v[Slots] >= o[Slots] &&
-		v[Conns] >= o[Conns]
+		v[Connections] >= o[Connections]
 }
 
 // Max returns the larger of v and o in every dimension.
--- a/sched/yield.go
+++ b/sched/yield.go
@@ -173,23 +173,23 @@
 func (c *Cell) throttleOnly(w WorkerID, r *taskRecord, now time.Duration, out []Decision) ([]Decision, bool) {
 	free := c.free[w]
 	need := r.Demand
-	need[Milli] = 0
+	need[MilliCPU] = 0
 	if !free.Covers(&need) {
 		return out, false
 	}
 	first := len(out)
 	for _, i := range c.running[w] {
-		if free[Milli] >= r.Demand[Milli] {
+		if free[MilliCPU] >= r.Demand[MilliCPU] {
 			break
 		}
 		v := &c.records[i]
 		if v.Preemption&MayThrottle == 0 || v.throttled || v.preempting || v.Class >= r.Class {
 			continue
 		}
-		free[Milli] += v.allocated[Milli] - v.allocated[Milli]/throttleDivisor
+		free[MilliCPU] += v.allocated[MilliCPU] - v.allocated[MilliCPU]/throttleDivisor
 		out = append(out, Decision{Op: OpThrottle, Task: Handle{index: i, gen: v.gen}, Ref: v.Ref, Worker: w})
 	}
-	if free[Milli] < r.Demand[Milli] {
+	if free[MilliCPU] < r.Demand[MilliCPU] {
 		return out[:first], false
 	}
 	for _, d := range out[first:] {
@@ -208,7 +208,7 @@
 	r.throttled = true
 	r.preempting = false
 	less := Vec{}
-	less[Milli] = r.allocated[Milli] - r.allocated[Milli]/throttleDivisor
+	less[MilliCPU] = r.allocated[MilliCPU] - r.allocated[MilliCPU]/throttleDivisor
 	r.allocated = r.allocated.Sub(less)
 	c.Release(r.worker, less)
 	c.chargeTeam(r.Team, Vec{}.Sub(less))
--- a/tree/compile.go
+++ b/tree/compile.go
@@ -42,22 +42,22 @@
 	Path string `json:"path"`
 	// Team is the path of the nearest branch with a quota, or else the first
 	// branch on the way.
-	Team        string        `json:"team"`
-	Kind        Kind          `json:"kind"`
-	Class       sched.Class   `json:"class"`
-	Demand      sched.Vec     `json:"demand"`
-	Repeat      ports.Repeat  `json:"repeat"`
-	Deadline    time.Duration `json:"deadline"`
-	StartWithin time.Duration `json:"start_within"`
-	Estimate    time.Duration `json:"estimate"`
-	Queue       int           `json:"queue"`
-	Rate        float64       `json:"rate"`
-	Window      *Window       `json:"window,omitempty"`
-	Ladder      sched.Ladder  `json:"ladder"`
-	Retries     int           `json:"retries"`
-	CutOff      CutOff        `json:"cut_off"`
-	MoveAfter   time.Duration `json:"move_after"`
-	Count       int           `json:"count"`
+	Team        string                `json:"team"`
+	Kind        Kind                  `json:"kind"`
+	Class       sched.Class           `json:"class"`
+	Demand      sched.Vec             `json:"demand"`
+	Repeat      ports.Repeat          `json:"repeat"`
+	Deadline    time.Duration         `json:"deadline"`
+	StartWithin time.Duration         `json:"start_within"`
+	Estimate    time.Duration         `json:"estimate"`
+	Queue       int                   `json:"queue"`
+	Rate        float64               `json:"rate"`
+	Window      *Window               `json:"window,omitempty"`
+	Ladder      sched.PreemptionModes `json:"ladder"`
+	Retries     int                   `json:"retries"`
+	CutOff      CutOff                `json:"cut_off"`
+	MoveAfter   time.Duration         `json:"move_after"`
+	Count       int                   `json:"count"`
 	// Keep is how long a job, its answer and its request key are kept after its
 	// end.
 	Keep time.Duration `json:"keep"`
@@ -235,10 +235,10 @@
 	}
 	decode(b.Settings["quota"], &q)
 	t.Quota = sched.Vec{
-		sched.Milli: parseCPU(q.CPU),
-		sched.MiB:   parseMemory(q.Memory),
-		sched.Accel: q.Accelerators,
-		sched.Slots: q.Slots,
+		sched.MilliCPU:     parseCPU(q.CPU),
+		sched.MemoryMiB:    parseMemory(q.Memory),
+		sched.Accelerators: q.Accelerators,
+		sched.Slots:        q.Slots,
 	}
 	c.out.Teams[path] = t
 }
@@ -259,10 +259,10 @@
 	get("retries", &w.Retries)
 	get("cut-off", &w.CutOff)
 	get("count", &w.Count)
-	get("accelerators", &w.Demand[sched.Accel])
-	get("connections", &w.Demand[sched.Conns])
-	w.Demand[sched.Milli] = parseCPU(cpu)
-	w.Demand[sched.MiB] = parseMemory(memory)
+	get("accelerators", &w.Demand[sched.Accelerators])
+	get("connections", &w.Demand[sched.Connections])
+	w.Demand[sched.MilliCPU] = parseCPU(cpu)
+	w.Demand[sched.MemoryMiB] = parseMemory(memory)
 	w.Demand[sched.Slots] = 1
 	w.Class, _ = sched.ParseClass(class)
 	w.Deadline = parseDuration(values["deadline"].Value)
@@ -276,8 +276,8 @@
 	c.out.Workloads[w.Path] = w
 }
 
-func ladder(steps []string) sched.Ladder {
-	var l sched.Ladder
+func ladder(steps []string) sched.PreemptionModes {
+	var l sched.PreemptionModes
 	for _, s := range steps {
 		switch s {
 		case "throttle":
--- a/tree/tree_test.go
+++ b/tree/tree_test.go
@@ -53,7 +53,7 @@
 		Expect(y.Values["class"].From).To(Equal("a"))
 		Expect(y.Values["memory"].From).To(Equal(""))
 		Expect(y.Values["retries"].From).To(Equal("default"))
-		Expect(c.Workloads["a/x"].Demand[sched.Milli]).To(BeEquivalentTo(500))
+		Expect(c.Workloads["a/x"].Demand[sched.MilliCPU]).To(BeEquivalentTo(500))
 	})
 
 	It("accepts the examples", func() {
