--- a/owner/owner.go
+++ b/owner/owner.go
@@ -36,11 +36,12 @@
 	Tree    *tree.Register
 	// LastHeartbeat returns the time of the instance's last heartbeat in the table.
 	LastHeartbeat func() time.Time
-	// FindRack returns another rack with room for a demand. Tell notifies the owner of that
-	// rack of a job that was moved there.
+	// FindRack returns another rack with room for a demand. NotifyMoved notifies the
+	// owner of that rack of a job that was moved there.
 	FindRack    func(demand sched.Vec, not string) (hall, rack string, ok bool)
 	NotifyMoved func(row job.Job, version uint64)
-	// OnOwnershipDoubt is called when a worker or the table indicates that another owner may have a rack.
+	// OnOwnershipDoubt is called when a worker or the table indicates that another owner may
+	// have a rack.
 	OnOwnershipDoubt func()
 	Log              log.Logger
 	Scope            tally.Scope
--- a/sched/vec.go
+++ b/sched/vec.go
@@ -9,7 +9,7 @@
 const (
 	// MilliCPU is processor time in thousandths of a processor.
 	MilliCPU Dim = iota
-	// MemoryMiB is memory in MemoryMiB.
+	// MemoryMiB is memory in MiB.
 	MemoryMiB
 	// Accelerators is a number of whole accelerators.
 	Accelerators
