--- a/cell/advice.go
+++ b/cell/advice.go
@@ -347,10 +347,10 @@
 
 // fits returns how many of the waiting tasks of s fit on w.
 func (s *stage) fits(w *worker) int {
-	room := s.def.Room()
+	room := s.def.Reservation()
 	most := s.waiting
-	if s.def.PerWorker > 0 {
-		most = min(most, s.def.PerWorker-s.runsByWorker[w])
+	if s.def.MaxPerWorker > 0 {
+		most = min(most, s.def.MaxPerWorker-s.runsByWorker[w])
 	}
 	free := w.free.Sub(w.reserved)
 	n := 0
@@ -398,7 +398,7 @@
 // workers that have room now, hold no valid ticket and were not found unfit.
 func (c *Cell) askCandidates(s *stage, q *Queue, now time.Time) []askCandidate {
 	first := s.advice.asked == nil
-	room := s.def.Room()
+	room := s.def.Reservation()
 	var out []askCandidate
 	for _, w := range c.sortedWorkers {
 		if !w.usable() || !w.suits(s, q) {
@@ -442,5 +442,5 @@
 
 // atPerWorkerLimit reports whether w runs as many tasks of s as one worker may.
 func (s *stage) atPerWorkerLimit(w *worker) bool {
-	return s.def.PerWorker > 0 && s.runsByWorker[w] >= s.def.PerWorker
+	return s.def.MaxPerWorker > 0 && s.runsByWorker[w] >= s.def.MaxPerWorker
 }
--- a/cell/ask_share_test.go
+++ b/cell/ask_share_test.go
@@ -101,7 +101,7 @@
 			r.Attached(pool, Lists{}, r.now)
 		}
 		submit := func(id, queue string) {
-			r.Submit(&flow.Spec{ID: id, Queue: queue, Steps: []flow.Step{{Count: 1, Demand: demand(1000), Lasting: queue == "service"}}}, r.now, r.now)
+			r.Submit(&flow.Spec{ID: id, Queue: queue, Steps: []flow.Step{{Count: 1, Demand: demand(1000), LongRunning: queue == "service"}}}, r.now, r.now)
 			r.JobStored(id)
 		}
 		for i := range steps {
--- a/cell/batch_load_test.go
+++ b/cell/batch_load_test.go
@@ -54,7 +54,7 @@
 		r.job(at, fmt.Sprintf("b%04d", n), "batch", 1+n%3, step, 3800*time.Millisecond)
 	})
 	lasting := func(at time.Duration, id string) {
-		step := flow.Step{Count: spread(20, 0.8, 120), Lasting: true,
+		step := flow.Step{Count: spread(20, 0.8, 120), LongRunning: true,
 			Demand: sched.Vec{sched.MilliCPU: int64(spread(9000, 0.4, 15_000)), sched.MemoryMiB: int64(spread(9000, 0.5, 18_000))}}
 		r.job(at, id, "service", 1, step, time.Second)
 		stays := time.Duration(spread(45, 0.7, 140)) * time.Second
--- a/cell/cancelled_test.go
+++ b/cell/cancelled_test.go
@@ -45,7 +45,7 @@
 	})
 
 	It("is stopped by the next owner when the owner that started it has been replaced", func() {
-		for _, rec := range []*flow.Record{{State: flow.Canceled, Cancelled: true}, {State: flow.Running, Cancelled: true}} {
+		for _, rec := range []*flow.Record{{State: flow.Canceled, Canceled: true}, {State: flow.Running, Canceled: true}} {
 			r := newRig(0)
 			spec := &flow.Spec{ID: "j", Queue: "q", Hall: "h", Steps: []flow.Step{{Count: 1, Demand: demand(1000)}}}
 			r.Restore(spec, rec, r.now, r.now)
--- a/cell/cell.go
+++ b/cell/cell.go
@@ -171,7 +171,7 @@
 		if j.state.Final() {
 			continue
 		}
-		if j.stored && !j.began && j.spec.Times == 0 && !j.share.Foreign() {
+		if j.stored && !j.began && j.spec.RepeatCount == 0 && !j.share.OwnedElsewhere() {
 			l.Pending[j.spec.Queue]++
 		}
 		l.Waiting += j.waitingWork()
@@ -186,5 +186,5 @@
 	if j == nil {
 		return nil
 	}
-	return j.stage(id.Time, id.Step)
+	return j.stage(id.Round, id.Step)
 }
--- a/cell/cell_test.go
+++ b/cell/cell_test.go
@@ -87,7 +87,7 @@
 var _ = Describe("a job", func() {
 	It("opens a step once all tasks of the steps before it are done", func() {
 		r := newRig(2)
-		r.add("j", flow.Step{Count: 2, Demand: demand(1000)}, flow.Step{Count: 1, Demand: demand(1000), After: []int{0}})
+		r.add("j", flow.Step{Count: 2, Demand: demand(1000)}, flow.Step{Count: 1, Demand: demand(1000), DependsOn: []int{0}})
 		starts := r.startAll()
 		Expect(starts).To(HaveLen(2))
 		r.end(starts[0], flow.EndDone)
@@ -117,8 +117,8 @@
 		r := newRig(2)
 		r.add("j",
 			flow.Step{Count: 3, Demand: demand(1000), Gang: true},
-			flow.Step{Count: 1, Demand: demand(1000), After: []int{0}},
-			flow.Step{Count: 1, Demand: demand(1000), After: []int{1}})
+			flow.Step{Count: 1, Demand: demand(1000), DependsOn: []int{0}},
+			flow.Step{Count: 1, Demand: demand(1000), DependsOn: []int{1}})
 		gang := r.startAll()
 		Expect(gang).To(HaveLen(3))
 		for _, s := range gang {
@@ -223,7 +223,7 @@
 
 	It("starts each repetition of a repeated job when it is due", func() {
 		r := newRig(1)
-		spec := &flow.Spec{ID: "j", Queue: "q", Times: 2, StartMS: r.now.Add(time.Second).UnixMilli(), EveryMS: 1000, Steps: []flow.Step{{Count: 1, Demand: demand(100)}}}
+		spec := &flow.Spec{ID: "j", Queue: "q", RepeatCount: 2, StartMS: r.now.Add(time.Second).UnixMilli(), EveryMS: 1000, Steps: []flow.Step{{Count: 1, Demand: demand(100)}}}
 		r.Submit(spec, r.now, r.now)
 		r.JobStored("j")
 		Expect(r.startAll()).To(BeEmpty())
@@ -235,7 +235,7 @@
 
 	It("has all of its runs stopped when it is cancelled", func() {
 		r := newRig(1)
-		r.add("j", flow.Step{Count: 2, Demand: demand(1000), Lasting: true})
+		r.add("j", flow.Step{Count: 2, Demand: demand(1000), LongRunning: true})
 		Expect(r.startAll()).To(HaveLen(2))
 		Expect(r.Cancel("j", r.now)).To(BeTrue())
 		Expect(r.place().Stops).To(HaveLen(2))
@@ -252,7 +252,7 @@
 
 	It("has the room of a stopped run back only once the end is listed", func() {
 		r := newRig(1)
-		r.add("a", flow.Step{Count: 1, Demand: demand(3000), Lasting: true})
+		r.add("a", flow.Step{Count: 1, Demand: demand(3000), LongRunning: true})
 		s := r.startAll()[0]
 		r.Cancel("a", r.now)
 		r.place()
@@ -297,7 +297,7 @@
 
 	It("gets nothing while it leaves, and its lasting tasks are moved", func() {
 		r := newRig(2)
-		r.add("j", flow.Step{Count: 1, Demand: demand(1000), Lasting: true})
+		r.add("j", flow.Step{Count: 1, Demand: demand(1000), LongRunning: true})
 		s := r.startAll()[0]
 		r.Listed(s.Worker, Lists{Running: []Running{{Task: s.Task, Run: s.Run, Percent: 100}}}, r.now, r.now)
 		r.heard(s.Worker, func(w *Worker) { w.Draining, w.Remaining = true, 2*time.Second })
@@ -347,7 +347,7 @@
 var _ = Describe("placement", func() {
 	It("keeps a step off workers without the label that the step needs", func() {
 		r := newRig(1)
-		r.add("j", flow.Step{Count: 1, Demand: demand(1000), Needs: "b"})
+		r.add("j", flow.Step{Count: 1, Demand: demand(1000), RequiredLabel: "b"})
 		Expect(r.startAll()).To(BeEmpty())
 		r.heard("w9", func(w *Worker) { w.Labels = []string{"b", "r"} })
 		r.Attached("w9", Lists{}, r.now)
@@ -358,7 +358,7 @@
 
 	It("puts no more tasks of a step on a worker than the step allows", func() {
 		r := newRig(2)
-		r.add("j", flow.Step{Count: 6, Demand: demand(100), PerWorker: 2})
+		r.add("j", flow.Step{Count: 6, Demand: demand(100), MaxPerWorker: 2})
 		starts := r.startAll()
 		Expect(starts).To(HaveLen(4))
 		on := make(map[string]int)
@@ -377,7 +377,7 @@
 
 	It("moves no more tasks of a lasting step at once than may be missing", func() {
 		r := newRig(2)
-		r.add("j", flow.Step{Count: 3, Demand: demand(1000), Lasting: true, MayMiss: 1})
+		r.add("j", flow.Step{Count: 3, Demand: demand(1000), LongRunning: true, MaxUnavailable: 1})
 		starts := r.startAll()
 		Expect(starts).To(HaveLen(3))
 		for _, s := range starts {
--- a/cell/change.go
+++ b/cell/change.go
@@ -47,7 +47,7 @@
 
 // noteChange records an event of r if its task is a lasting one.
 func (c *Cell) noteChange(r *run, e RunEvent) {
-	if r.stage.def.Lasting && !r.stage.unknown {
+	if r.stage.def.LongRunning && !r.stage.unknown {
 		c.changes = append(c.changes, RunChange{Task: r.task(), Run: r.number, Worker: r.worker.ID, Event: e})
 	}
 }
--- a/cell/choose.go
+++ b/cell/choose.go
@@ -15,10 +15,10 @@
 	if w.Pool != q.Pool {
 		return false
 	}
-	if s.def.Needs != "" && !slices.Contains(w.Labels, s.def.Needs) {
+	if s.def.RequiredLabel != "" && !slices.Contains(w.Labels, s.def.RequiredLabel) {
 		return false
 	}
-	room := s.def.Room()
+	room := s.def.Reservation()
 	return w.Room.Covers(&room)
 }
 
@@ -27,7 +27,7 @@
 	var best *worker
 	var bestTicket string
 	bestScore := 0.0
-	room := s.def.Room()
+	room := s.def.Reservation()
 	for p := range c.permits(s, q, now) {
 		w := p.worker
 		if !w.usable() || !w.hasRoom(&room) || s.atPerWorkerLimit(w) || !w.suits(s, q) || !w.health.allows(len(w.runs), now) || w.underTrial(now) {
@@ -64,10 +64,10 @@
 func (c *Cell) score(s *stage, t *task, w *worker, room *sched.Vec) float64 {
 	left := w.free.Sub(*room)
 	score := -left.Share(w.Room)
-	if s.def.Fills {
+	if s.def.IdleCPUOnly {
 		score = float64(w.free[sched.MilliCPU]) / float64(max(w.Room[sched.MilliCPU], 1))
 	}
-	if s.def.Near != "" && slices.Contains(w.Labels, s.def.Near) {
+	if s.def.PreferredRack != "" && slices.Contains(w.Labels, s.def.PreferredRack) {
 		score += nearBonus
 	}
 	if slices.Contains(t.avoidWorkers, w.ID) {
@@ -76,7 +76,7 @@
 	if w.health.failuresInRow > 0 {
 		score -= failurePenalty
 	}
-	if !s.def.Lasting {
+	if !s.def.LongRunning {
 		score += s.jobAffinity(w)
 	}
 	if s.def.SameRack {
--- a/cell/crash.go
+++ b/cell/crash.go
@@ -178,11 +178,11 @@
 		if r.age(at) > crashClearTime {
 			continue
 		}
-		b := flow.BlameBeside
+		b := flow.BlameUnlikely
 		if slices.Contains(suspects, r) {
 			b = c.blameOf(r, how, at, len(suspects))
 		}
-		if b != flow.BlameBeside && !slices.Contains(steps, r.stage) {
+		if b != flow.BlameUnlikely && !slices.Contains(steps, r.stage) {
 			r.stage.blamedLosses++
 			steps = append(steps, r.stage)
 		}
@@ -229,7 +229,7 @@
 		if how != LossSilent && (again || r.age(at) <= correlatedYoungRunAge) {
 			return flow.BlameShared
 		}
-		return flow.BlameBeside
+		return flow.BlameUnlikely
 	case suspects == 1 && how != LossSilent:
 		return flow.BlameSole
 	}
@@ -279,7 +279,7 @@
 	if slices.ContainsFunc(t.crashes, func(o flow.Crash) bool { return o.Run >= c.runBase }) {
 		return
 	}
-	crash := flow.Crash{Run: c.runBase, Blame: flow.BlameBeside, Inherited: true}
+	crash := flow.Crash{Run: c.runBase, Blame: flow.BlameUnlikely, Inherited: true}
 	if t.suspect() {
 		crash.Blame = flow.BlameShared
 	}
@@ -305,7 +305,7 @@
 // suspect reports whether a task may be crashing its workers.
 func (t *task) suspect() bool {
 	return len(t.crashes) > 1 ||
-		slices.ContainsFunc(t.crashes, func(c flow.Crash) bool { return c.Blame != flow.BlameBeside })
+		slices.ContainsFunc(t.crashes, func(c flow.Crash) bool { return c.Blame != flow.BlameUnlikely })
 }
 
 // crashesMustBeStored reports whether the losses counted against a task belong in its job's record.
@@ -336,7 +336,7 @@
 			at := slices.IndexFunc(out, func(o flow.Crash) bool { return o.Run == c.Run })
 			if at < 0 {
 				out = append(out, c)
-			} else if c.Blame == flow.BlameSole || out[at].Blame == flow.BlameBeside {
+			} else if c.Blame == flow.BlameSole || out[at].Blame == flow.BlameUnlikely {
 				out[at] = c
 			}
 		}
@@ -349,7 +349,7 @@
 	sole, blamed, observed, total := 0, 0, 0, 0
 	for _, c := range crashes {
 		total += lossWeight(c)
-		if c.Blame != flow.BlameBeside {
+		if c.Blame != flow.BlameUnlikely {
 			blamed++
 			if !c.Inherited {
 				observed++
@@ -374,7 +374,7 @@
 // an owner restarts the task before the store has the loss. An owner that cannot write may
 // therefore have lost two runs of which the next owner knows nothing.
 func lossWeight(c flow.Crash) int {
-	if c.Inherited && c.Blame == flow.BlameBeside {
+	if c.Inherited && c.Blame == flow.BlameUnlikely {
 		return 2
 	}
 	return 1
@@ -408,7 +408,7 @@
 		return
 	}
 	c.givenUps = append(c.givenUps, GivenUpTask{Task: s.taskID(index), Crashes: s.crashesOf(index)})
-	if s.job.share.Foreign() {
+	if s.job.share.OwnedElsewhere() {
 		if t.state == taskWaiting {
 			s.setWaiting(t, false)
 		}
--- a/cell/crash_owner_test.go
+++ b/cell/crash_owner_test.go
@@ -110,7 +110,7 @@
 	}{
 		{sole, true, []flow.Blame{flow.BlameSole, flow.BlameShared}},
 		{sole, false, []flow.Blame{flow.BlameSole}},
-		{nil, true, []flow.Blame{flow.BlameBeside}},
+		{nil, true, []flow.Blame{flow.BlameUnlikely}},
 		{nil, false, nil},
 	} {
 		r := newRig(1)
@@ -171,7 +171,7 @@
 	inherited := func(run int, blame flow.Blame) flow.Crash { return flow.Crash{Run: run, Blame: blame, Inherited: true} }
 	seen := func(run int) flow.Crash { return flow.Crash{Run: run, Blame: flow.BlameShared, AgeMS: 143} }
 	once := []flow.Crash{
-		inherited(8192, flow.BlameBeside), seen(8193), inherited(12288, flow.BlameShared), inherited(16384, flow.BlameShared),
+		inherited(8192, flow.BlameUnlikely), seen(8193), inherited(12288, flow.BlameShared), inherited(16384, flow.BlameShared),
 	}
 	g.Expect(mustGiveUp(once)).To(BeFalse())
 	g.Expect(mustGiveUp([]flow.Crash{once[0], seen(8193), seen(12289), seen(16385)})).To(BeTrue())
--- a/cell/crash_test.go
+++ b/cell/crash_test.go
@@ -107,7 +107,7 @@
 		for _, p := range s.hosts {
 			for _, r := range p.runs {
 				if s.crashes[flow.TaskID{Job: "bad", Index: 1}] >= s.starts[r.Task] {
-					s.ended(p, r, flow.EndBroken)
+					s.ended(p, r, flow.EndGangBroken)
 				}
 			}
 		}
@@ -121,7 +121,7 @@
 	s := newCrashSim(1, 4, 2)
 	s.downFor = 4 * time.Second
 	s.crashAfter = crashJobsAfter(10*time.Millisecond, "bad")
-	s.add("bad", flow.Step{Count: 1, Demand: demand(1000), Copies: true})
+	s.add("bad", flow.Step{Count: 1, Demand: demand(1000), Speculative: true})
 	g.Expect(s.run(30*time.Second, "bad")).To(BeTrue())
 	_, most := s.crashTotals()
 	g.Expect(most).To(BeNumerically("<=", 3))
@@ -140,7 +140,7 @@
 		var jobs []string
 		for i := range 40 {
 			jobs = append(jobs, fmt.Sprintf("bad%d", i))
-			s.add(jobs[i], flow.Step{Count: tasks, Demand: demand(1000), Copies: true})
+			s.add(jobs[i], flow.Step{Count: tasks, Demand: demand(1000), Speculative: true})
 			s.run(150 * time.Millisecond)
 		}
 		g.Expect(s.run(2*time.Minute, jobs...)).To(BeTrue(), "seed %d", seed)
@@ -151,7 +151,7 @@
 func TestTrialThatCrashesItsWorkerLateGetsNoCopy(t *testing.T) {
 	g := NewWithT(t)
 	r := newRig(3)
-	r.add("j", flow.Step{Count: 2, Demand: demand(1000), Copies: true})
+	r.add("j", flow.Step{Count: 2, Demand: demand(1000), Speculative: true})
 	first := r.startAll()
 	r.now = r.now.Add(10 * time.Millisecond)
 	r.Detached(first[0].Worker, r.now)
@@ -174,7 +174,7 @@
 	for _, hungUp := range []bool{false, true} {
 		g := NewWithT(t)
 		r := newRig(2)
-		r.add("j", flow.Step{Count: 1, Demand: demand(1000), Copies: true})
+		r.add("j", flow.Step{Count: 1, Demand: demand(1000), Speculative: true})
 		first := r.startAll()
 		g.Expect(first).To(HaveLen(1))
 		r.now = r.now.Add(10 * time.Millisecond)
@@ -196,7 +196,7 @@
 	s := newCrashSim(1, 4, 2)
 	s.length = endless
 	s.crashAfter = crashJobsAfter(10*time.Millisecond, "bad")
-	s.add("bad", flow.Step{Count: 3, Demand: demand(1000), Lasting: true})
+	s.add("bad", flow.Step{Count: 3, Demand: demand(1000), LongRunning: true})
 	g.Expect(s.run(20*time.Second, "bad")).To(BeTrue())
 	g.Expect(state(s, "bad")).To(Equal(flow.Failed))
 	g.Expect(s.maxLateStarts()).To(BeNumerically("<=", allowedLateStarts))
@@ -207,7 +207,7 @@
 	s := newCrashSim(1, 4, 2)
 	s.Name, s.length = "b", endless
 	s.crashAfter = func(t flow.TaskID) time.Duration { return map[int]time.Duration{1: 10 * time.Millisecond}[t.Index] }
-	s.Submit(&flow.Spec{ID: "j", Queue: "q", Cell: "a", Shares: []string{"b"}, Steps: []flow.Step{{Count: 4, Demand: demand(1000), Lasting: true}}}, s.now, s.now)
+	s.Submit(&flow.Spec{ID: "j", Queue: "q", Cell: "a", Shares: []string{"b"}, Steps: []flow.Step{{Count: 4, Demand: demand(1000), LongRunning: true}}}, s.now, s.now)
 	s.JobStored("j")
 	s.run(30 * time.Second)
 	g.Expect(state(s, "j")).To(Equal(flow.Running))
@@ -307,7 +307,7 @@
 func TestLeavingWorkersDoNotCountAgainstTasks(t *testing.T) {
 	g := NewWithT(t)
 	r := newRig(0)
-	r.add("j", flow.Step{Count: 1, Demand: demand(1000), Lasting: true})
+	r.add("j", flow.Step{Count: 1, Demand: demand(1000), LongRunning: true})
 	for i := range 8 {
 		id := fmt.Sprintf("v%d", i)
 		r.heard(id, func(*Worker) {})
@@ -368,7 +368,7 @@
 		r.HungUp(s.Worker, seen)
 		r.Forget(s.Worker, LossReborn, r.now.Add(time.Second))
 		blame := r.jobs["j"].stages[0].tasks[0].crashes[0].Blame
-		g.Expect(blame).To(Equal(map[bool]flow.Blame{true: flow.BlameBeside, false: flow.BlameShared}[seen]))
+		g.Expect(blame).To(Equal(map[bool]flow.Blame{true: flow.BlameUnlikely, false: flow.BlameShared}[seen]))
 	}
 }
 
--- a/cell/early.go
+++ b/cell/early.go
@@ -91,15 +91,15 @@
 
 // bindUnknownRun assigns a run of a formerly unknown job to its step, now that the job is known.
 func (c *Cell) bindUnknownRun(r *run, now time.Time) {
-	s := c.stage(flow.StepID{Job: r.stage.job.spec.ID, Time: r.stage.time, Step: r.stage.step})
+	s := c.stage(flow.StepID{Job: r.stage.job.spec.ID, Round: r.stage.time, Step: r.stage.step})
 	if s == nil || r.index >= len(s.tasks) || s.tasks[r.index].state == taskElsewhere {
 		return
 	}
 	r.worker.unknownRuns--
-	r.stage, r.room = s, s.def.Room()
+	r.stage, r.room = s, s.def.Reservation()
 	r.worker.free = r.worker.free.Sub(r.room)
 	s.job.charge(s.def.Demand)
-	if s.def.Fills {
+	if s.def.IdleCPUOnly {
 		r.worker.fillerRuns++
 	}
 	s.job.began = true
--- a/cell/empty.go
+++ b/cell/empty.go
@@ -37,7 +37,7 @@
 // missed reports whether r is at work for a step that limits how many of its tasks may be missing
 // because of the system's own actions.
 func (r *run) missed() bool {
-	return !r.stage.unknown && r.stage.def.Lasting && r.stage.def.MayMiss > 0 && r.atWork()
+	return !r.stage.unknown && r.stage.def.LongRunning && r.stage.def.MaxUnavailable > 0 && r.atWork()
 }
 
 // leaving reports whether w will be gone soon, because it announced so or is being evacuated.
--- a/cell/empty_test.go
+++ b/cell/empty_test.go
@@ -61,7 +61,7 @@
 
 	It("has its lasting tasks moved, and stays while a step would miss too many", func() {
 		r := newRig(2)
-		r.add("j", flow.Step{Count: 2, Demand: demand(1000), Lasting: true, MayMiss: 1, PerWorker: 1})
+		r.add("j", flow.Step{Count: 2, Demand: demand(1000), LongRunning: true, MaxUnavailable: 1, MaxPerWorker: 1})
 		starts := r.startAll()
 		Expect(starts).To(HaveLen(2))
 		for _, s := range starts {
--- a/cell/ends.go
+++ b/cell/ends.go
@@ -26,7 +26,7 @@
 
 // takeTaskEnd processes the end of a run of a known job.
 func (c *Cell) takeTaskEnd(w *worker, f Finished, now time.Time) {
-	s := c.stage(flow.StepID{Job: f.Task.Job, Time: f.Task.Time, Step: f.Task.Step})
+	s := c.stage(flow.StepID{Job: f.Task.Job, Round: f.Task.Round, Step: f.Task.Step})
 	if s == nil || f.Task.Index >= len(s.tasks) {
 		return
 	}
@@ -44,9 +44,9 @@
 	case flow.EndFailed:
 		c.counts.Failed++
 		c.takeFailure(s, f, w, now)
-	case flow.EndStopped, flow.EndBroken, flow.EndAlone:
+	case flow.EndStopped, flow.EndGangBroken, flow.EndGangIncomplete:
 		c.counts.Stopped++
-	case flow.EndLapsed:
+	case flow.EndLeaseExpired:
 		c.counts.Lapsed++
 		s.job.history.Lost++
 	}
@@ -76,7 +76,7 @@
 
 // completeTask marks a task as done. If it belongs to a gang all members are done.
 func (c *Cell) completeTask(s *stage, index int, now time.Time) {
-	if s.def.Lasting || s.tasksLeft == 0 {
+	if s.def.LongRunning || s.tasksLeft == 0 {
 		return
 	}
 	if s.def.Gang {
@@ -88,7 +88,7 @@
 	}
 	c.markDirty(s.job)
 	// Copies and other members of a gang may still be running.
-	c.runsNeedCheck = c.runsNeedCheck || s.def.Copies || s.def.Gang
+	c.runsNeedCheck = c.runsNeedCheck || s.def.Speculative || s.def.Gang
 	if s.tasksLeft == 0 {
 		s.doneAt = now
 		c.completeStage(s, now)
@@ -116,7 +116,7 @@
 	}
 	for i := range j.spec.Steps {
 		next := j.stage(s.time, i)
-		if slices.Contains(next.def.After, s.step) {
+		if slices.Contains(next.def.DependsOn, s.step) {
 			next.pendingDeps--
 			if next.pendingDeps == 0 {
 				next.waitingSince = now
@@ -141,7 +141,7 @@
 	if !slices.Contains(t.avoidWorkers, w.ID) {
 		t.avoidWorkers = append(t.avoidWorkers, w.ID)
 	}
-	if s.def.Lasting {
+	if s.def.LongRunning {
 		return
 	}
 	t.failedRuns = append(t.failedRuns, f.Run)
--- a/cell/job.go
+++ b/cell/job.go
@@ -142,7 +142,7 @@
 func (j *job) waitingWork() int64 {
 	var sum int64
 	for _, s := range j.stages {
-		if !s.def.Lasting && s.def.Demand[sched.MilliCPU] > 0 {
+		if !s.def.LongRunning && s.def.Demand[sched.MilliCPU] > 0 {
 			sum += int64(s.waiting) * s.def.EstimateMS * s.def.Demand[sched.MilliCPU] / 1000
 		}
 	}
@@ -150,11 +150,11 @@
 }
 
 func (s *stage) taskID(i int) flow.TaskID {
-	return flow.TaskID{Job: s.job.spec.ID, Time: s.time, Step: s.step, Index: i}
+	return flow.TaskID{Job: s.job.spec.ID, Round: s.time, Step: s.step, Index: i}
 }
 
 func (s *stage) id() flow.StepID {
-	return flow.StepID{Job: s.job.spec.ID, Time: s.time, Step: s.step}
+	return flow.StepID{Job: s.job.spec.ID, Round: s.time, Step: s.step}
 }
 
 // ready reports whether the steps before s are done and the job has not ended.
@@ -230,7 +230,7 @@
 	}
 	j.beyondShare = j.account.takeShare(arrived)
 	if rec != nil {
-		j.state, j.cancelled = rec.State, rec.Cancelled
+		j.state, j.cancelled = rec.State, rec.Canceled
 		j.began = rec.State != flow.Pending
 	}
 	c.jobs[spec.ID] = j
@@ -249,7 +249,7 @@
 		return j
 	}
 	for _, s := range j.stages {
-		for _, b := range s.def.After {
+		for _, b := range s.def.DependsOn {
 			if j.stage(s.time, b).tasksLeft > 0 {
 				s.pendingDeps++
 			}
@@ -268,11 +268,11 @@
 
 func newStage(j *job, k, step int, rec *flow.Record) *stage {
 	def := &j.spec.Steps[step]
-	s := &stage{job: j, time: k, step: step, def: def, due: j.spec.Due(k), chain: j.spec.Chain(step)}
+	s := &stage{job: j, time: k, step: step, def: def, due: j.spec.Due(k), chain: j.spec.CriticalPath(step)}
 	j.longestChain = max(j.longestChain, s.chain)
 	s.tasks = make([]task, def.Count)
 	for i := range s.tasks {
-		if !j.share.Has(i) {
+		if !j.share.Contains(i) {
 			s.tasks[i].state = taskElsewhere
 			continue
 		}
@@ -287,7 +287,7 @@
 	s.storedHalls, s.inheritedHalls = old.Halls, old.Halls
 	for i := range s.tasks {
 		t := &s.tasks[i]
-		t.checkpoint, t.failedRuns = old.Saved[i], old.Fails[i]
+		t.checkpoint, t.failedRuns = old.Checkpoints[i], old.FailedRuns[i]
 		t.crashes = old.Crashes[i]
 		t.storedCrashes = len(t.crashes)
 		s.blamedLosses = max(s.blamedLosses, len(t.crashes))
@@ -295,7 +295,7 @@
 			t.state = taskDone
 			s.tasksLeft--
 			s.waiting--
-		} else if t.state == taskWaiting && j.share.Foreign() && mustGiveUp(t.crashes) {
+		} else if t.state == taskWaiting && j.share.OwnedElsewhere() && mustGiveUp(t.crashes) {
 			t.state = taskGivenUp
 			s.waiting--
 		}
--- a/cell/leave_test.go
+++ b/cell/leave_test.go
@@ -127,7 +127,7 @@
 	)
 	start := func(step flow.Step) *moveSim {
 		m := newMoveSim(newRig(workers))
-		step.Demand, step.Lasting, step.PerWorker = demand(1000), true, 1
+		step.Demand, step.LongRunning, step.MaxPerWorker = demand(1000), true, 1
 		m.add("j", step)
 		m.play(time.Second)
 		m.maxAway = 0
@@ -156,7 +156,7 @@
 	})
 
 	It("is moved within its limit of missing tasks, and the rest just before the workers end", func() {
-		m := start(flow.Step{Count: 100, MayMiss: 1})
+		m := start(flow.Step{Count: 100, MaxUnavailable: 1})
 		m.leave(2*leave, notice)
 		m.play(notice - stopLead - 100*time.Millisecond)
 		Expect(m.maxAway).To(Equal(1))
--- a/cell/link_test.go
+++ b/cell/link_test.go
@@ -118,9 +118,9 @@
 	})
 
 	It("is frequent where filler runs are beside a serving one", func() {
-		serves := flow.Step{Count: 1, Lasting: true, TargetMS: 100}
+		serves := flow.Step{Count: 1, LongRunning: true, TargetMS: 100}
 		Expect(pollWait(serves)).To(BeNumerically(">", minPollInterval))
-		Expect(pollWait(serves, flow.Step{Count: 1, Fills: true, EstimateMS: 60_000})).To(Equal(minPollInterval))
+		Expect(pollWait(serves, flow.Step{Count: 1, IdleCPUOnly: true, EstimateMS: 60_000})).To(Equal(minPollInterval))
 	})
 
 	It("is less frequent where runs save checkpoints", func() {
--- a/cell/look.go
+++ b/cell/look.go
@@ -44,7 +44,7 @@
 	case def.TargetMS > 0 && w.fillerRuns > 0:
 		// The speed of the filler runs is set by the latencies of this run.
 		return minPollInterval
-	case def.Lasting && r.percent >= 100:
+	case def.LongRunning && r.percent >= 100:
 		return maxPollInterval
 	case def.Checkpoints:
 		return min(r.stallAfter(), checkpointPollInterval)
--- a/cell/over.go
+++ b/cell/over.go
@@ -33,7 +33,7 @@
 func (c *Cell) Ended() []EndedJob {
 	var out []EndedJob
 	for _, j := range c.finished {
-		out = append(out, EndedJob{ID: j.spec.ID, State: j.state, Foreign: j.share.Foreign()})
+		out = append(out, EndedJob{ID: j.spec.ID, State: j.state, Foreign: j.share.OwnedElsewhere()})
 	}
 	c.finished = c.finished[:0]
 	return out
@@ -56,10 +56,10 @@
 	var out []EndedJob
 	for id, j := range c.jobs {
 		if j.archived && j.storedState == j.state && !j.dirty && now.Sub(j.ended) > after {
-			out = append(out, EndedJob{ID: id, State: j.state, Foreign: j.share.Foreign()})
+			out = append(out, EndedJob{ID: id, State: j.state, Foreign: j.share.OwnedElsewhere()})
 			// Clients can see the end only once it is archived, so the time for which an operator
 			// lets them query it counts from now, whenever the job ended.
-			c.retired[id] = retiredJob{state: j.state, since: now, foreign: j.share.Foreign(), account: c.exclusiveAccount(j)}
+			c.retired[id] = retiredJob{state: j.state, since: now, foreign: j.share.OwnedElsewhere(), account: c.exclusiveAccount(j)}
 			delete(c.jobs, id)
 		}
 	}
@@ -88,7 +88,7 @@
 func (c *Cell) Foreign() []string {
 	var out []string
 	for id, j := range c.jobs {
-		if j.share.Foreign() && j.stored && !j.archived {
+		if j.share.OwnedElsewhere() && j.stored && !j.archived {
 			out = append(out, id)
 		}
 	}
--- a/cell/over_test.go
+++ b/cell/over_test.go
@@ -36,7 +36,7 @@
 	})
 
 	It("counts as ended since it was restored, not since it arrived, if a former owner ended it", func() {
-		done := flow.Bits{1}
+		done := flow.BitSet{1}
 		for _, rec := range []*flow.Record{
 			{State: flow.Succeeded},
 			{State: flow.Running, Stages: []flow.StageRecord{{Done: done}}},
--- a/cell/pace.go
+++ b/cell/pace.go
@@ -38,7 +38,7 @@
 		}
 		w.setPace(now)
 		for _, r := range w.runList {
-			if !r.stage.def.Fills || r.confirmedAt.IsZero() || r.stopping || r.throttlePercent == w.throttlePercent {
+			if !r.stage.def.IdleCPUOnly || r.confirmedAt.IsZero() || r.stopping || r.throttlePercent == w.throttlePercent {
 				continue
 			}
 			r.throttlePercent = w.throttlePercent
--- a/cell/pace_test.go
+++ b/cell/pace_test.go
@@ -14,8 +14,8 @@
 var _ = Describe("filler tasks", func() {
 	It("are slowed down fast while a serving task beside them is over its target, and sped up slowly", func() {
 		r := newRig(1)
-		r.add("serves", flow.Step{Count: 1, Demand: demand(1000), Lasting: true, TargetMS: 100})
-		r.add("fills", flow.Step{Count: 1, Demand: demand(8000), Fills: true, EstimateMS: 60_000})
+		r.add("serves", flow.Step{Count: 1, Demand: demand(1000), LongRunning: true, TargetMS: 100})
+		r.add("fills", flow.Step{Count: 1, Demand: demand(8000), IdleCPUOnly: true, EstimateMS: 60_000})
 		starts := r.startAll()
 		Expect(starts).To(HaveLen(2))
 		list := func(tail int64, after time.Duration) []Pace {
--- a/cell/place.go
+++ b/cell/place.go
@@ -88,7 +88,7 @@
 			c.reportWait(s, LinkFull, &a, now)
 			continue
 		}
-		room := s.def.Room()
+		room := s.def.Reservation()
 		why := NoWorker
 		switch {
 		case c.heldUp(s, &unsettled):
@@ -156,7 +156,7 @@
 
 // opensWithin estimates whether the steps before s will be done within d.
 func (c *Cell) opensWithin(s *stage, d time.Duration, now time.Time) bool {
-	for _, b := range s.def.After {
+	for _, b := range s.def.DependsOn {
 		before := s.job.stage(s.time, b)
 		if before.tasksLeft == 0 {
 			continue
@@ -207,7 +207,7 @@
 		return rank{priority: lowestPriority}
 	}
 	r := rank{priority: q.Priority, beyondShare: s.job.beyondShare}
-	if s.def.Lasting {
+	if s.def.LongRunning {
 		r.slack = s.waitingSince.Sub(now)
 		return r
 	}
@@ -258,7 +258,7 @@
 // placeTasks starts as many of the waiting tasks of s as find room.
 func (c *Cell) placeTasks(s *stage, q *Queue, a *Actions, now time.Time) {
 	c.chooseHall(s, q, now)
-	if s.def.Lasting {
+	if s.def.LongRunning {
 		// Other systems depend on a task that was already running, so it restarts first.
 		c.placeWhere(s, q, a, now, func(t *task) bool { return t.state == taskWaiting && t.lastRun > 0 })
 	}
@@ -327,7 +327,7 @@
 // which it may start.
 func (c *Cell) pickGang(s *stage, q *Queue, now time.Time) ([]pick, bool) {
 	var picks []pick
-	room := s.def.Room()
+	room := s.def.Reservation()
 	defer func() {
 		for _, p := range picks {
 			p.worker.free = p.worker.free.Add(room)
@@ -351,7 +351,7 @@
 	t := &s.tasks[index]
 	s.setWaiting(t, false)
 	t.state = taskActive
-	r := &run{stage: s, index: index, number: n + c.runBase, worker: w, decidedAt: now, room: s.def.Room(), checkpoint: t.checkpoint}
+	r := &run{stage: s, index: index, number: n + c.runBase, worker: w, decidedAt: now, room: s.def.Reservation(), checkpoint: t.checkpoint}
 	t.runs = append(t.runs, r)
 	w.addRun(r)
 	s.countRunOn(w, 1)
--- a/cell/replay_test.go
+++ b/cell/replay_test.go
@@ -146,7 +146,7 @@
 	step.EstimateMS = int64(float64(work.Milliseconds()) * (0.8 + 0.4*r.rng.Float64()))
 	steps := slices.Repeat([]flow.Step{step}, count)
 	for i := 1; i < count; i++ {
-		steps[i].After = []int{i - 1}
+		steps[i].DependsOn = []int{i - 1}
 	}
 	hall := fmt.Sprintf("h%d", r.rng.IntN(4))
 	r.arrive(at, &flow.Spec{ID: id, Queue: queue, Hall: hall, Steps: steps}, work)
@@ -240,7 +240,7 @@
 		r.join(run)
 		return
 	}
-	if step.Lasting {
+	if step.LongRunning {
 		return
 	}
 	r.after(length+replayEnd, func() { r.end(run, flow.EndDone, "") })
--- a/cell/reserve.go
+++ b/cell/reserve.go
@@ -61,7 +61,7 @@
 		s.reservation = c.newReservation(s, q, now)
 		c.yieldFor(s, q, now)
 	}
-	room := s.def.Room()
+	room := s.def.Reservation()
 	for w, n := range s.reservation.workers {
 		w.reserved = w.reserved.Add(room.Scale(int64(n)))
 	}
@@ -69,7 +69,7 @@
 
 // large reports whether the tasks of s are large for every worker that may run it.
 func (c *Cell) large(s *stage, q *Queue) bool {
-	few := s.def.Room().Scale(maxLargePerWorker + 1)
+	few := s.def.Reservation().Scale(maxLargePerWorker + 1)
 	for _, w := range c.sortedWorkers {
 		if w.Room.Covers(&few) && w.suits(s, q) {
 			return false
@@ -135,9 +135,9 @@
 // it has room for them.
 func (c *Cell) offer(w *worker, s *stage, q *Queue, now time.Time) offer {
 	o := offer{worker: w}
-	room := s.def.Room()
+	room := s.def.Reservation()
 	most := w.Room.Sub(w.reserved)
-	for o.tasks < s.waiting && most.Covers(&room) && (s.def.PerWorker == 0 || s.runsByWorker[w]+o.tasks < s.def.PerWorker) {
+	for o.tasks < s.waiting && most.Covers(&room) && (s.def.MaxPerWorker == 0 || s.runsByWorker[w]+o.tasks < s.def.MaxPerWorker) {
 		most = most.Sub(room)
 		o.tasks++
 	}
@@ -169,7 +169,7 @@
 
 // timeUntilFree estimates how long until the room of r is free for a task of queue q.
 func (c *Cell) timeUntilFree(r *run, q *Queue, now time.Time) time.Duration {
-	if r.stage.def.Lasting {
+	if r.stage.def.LongRunning {
 		return neverFrees
 	}
 	left := r.remaining(now)
@@ -183,7 +183,7 @@
 // urgent, and it can resume from a checkpoint.
 func (c *Cell) mayYield(r *run, q *Queue) bool {
 	s := r.stage
-	if s.unknown || !s.def.Checkpoints || s.def.Gang || s.def.Lasting || s.def.Copies || r.confirmedAt.IsZero() {
+	if s.unknown || !s.def.Checkpoints || s.def.Gang || s.def.LongRunning || s.def.Speculative || r.confirmedAt.IsZero() {
 		return false
 	}
 	own := c.queues[s.job.spec.Queue]
@@ -193,7 +193,7 @@
 // yieldFor stops tasks so that the room reserved for s comes free, those with the most work left
 // first, unless the room comes free soon anyway.
 func (c *Cell) yieldFor(s *stage, q *Queue, now time.Time) {
-	room := s.def.Room()
+	room := s.def.Reservation()
 	for w, n := range s.reservation.workers {
 		need := room.Scale(int64(n))
 		c.yield(w, need, s, q, now)
--- a/cell/room_test.go
+++ b/cell/room_test.go
@@ -34,7 +34,7 @@
 	r.add("j", flow.Step{Count: 4, Demand: demand(1000)})
 	r.startAll()
 	r.heard("w0", func(w *Worker) { w.Room = vec(2000, 8000) })
-	r.add("k", flow.Step{Count: 1, Demand: demand(1000), Fills: true})
+	r.add("k", flow.Step{Count: 1, Demand: demand(1000), IdleCPUOnly: true})
 	g.Expect(r.startAll()).To(BeEmpty())
 }
 
--- a/cell/run.go
+++ b/cell/run.go
@@ -60,7 +60,7 @@
 	w.runList = append(w.runList, r)
 	w.free = w.free.Sub(r.room)
 	r.stage.job.charge(r.stage.def.Demand)
-	if r.stage.def.Fills {
+	if r.stage.def.IdleCPUOnly {
 		w.fillerRuns++
 	}
 	if r.stage.unknown {
@@ -75,7 +75,7 @@
 	r.worker.runList = slices.DeleteFunc(r.worker.runList, func(o *run) bool { return o == r })
 	r.worker.free = r.worker.free.Add(r.room)
 	r.stage.job.refund(r.stage.def.Demand)
-	if r.stage.def.Fills {
+	if r.stage.def.IdleCPUOnly {
 		r.worker.fillerRuns--
 	}
 	if r.stage.unknown {
--- a/cell/save.go
+++ b/cell/save.go
@@ -38,7 +38,7 @@
 	saves := make([]Save, 0, n)
 	for _, j := range c.dirty[:n] {
 		j.dirty = false
-		saves = append(saves, Save{ID: j.spec.ID, Record: j.record(), History: j.history, Foreign: j.share.Foreign()})
+		saves = append(saves, Save{ID: j.spec.ID, Record: j.record(), History: j.history, Foreign: j.share.OwnedElsewhere()})
 	}
 	c.dirty = append(c.dirty[:0], c.dirty[n:]...)
 	if len(c.dirty) == 0 {
@@ -101,7 +101,7 @@
 }
 
 func (j *job) record() *flow.Record {
-	r := &flow.Record{State: j.state, Cancelled: j.cancelled}
+	r := &flow.Record{State: j.state, Canceled: j.cancelled}
 	if !j.state.Final() && j.began {
 		r.State = flow.Running
 	}
@@ -118,11 +118,11 @@
 				out.Done.Set(i)
 				continue
 			}
-			if len(t.failedRuns) > 0 && !s.def.Lasting {
-				if out.Fails == nil {
-					out.Fails = make(map[int][]int)
+			if len(t.failedRuns) > 0 && !s.def.LongRunning {
+				if out.FailedRuns == nil {
+					out.FailedRuns = make(map[int][]int)
 				}
-				out.Fails[i] = t.failedRuns
+				out.FailedRuns[i] = t.failedRuns
 			}
 			if t.crashesMustBeStored() {
 				if out.Crashes == nil {
@@ -131,10 +131,10 @@
 				out.Crashes[i] = slices.Clone(t.crashes)
 			}
 			if t.state == taskWaiting && t.checkpoint != "" {
-				if out.Saved == nil {
-					out.Saved = make(map[int]string)
+				if out.Checkpoints == nil {
+					out.Checkpoints = make(map[int]string)
 				}
-				out.Saved[i] = t.checkpoint
+				out.Checkpoints[i] = t.checkpoint
 			}
 		}
 	}
--- a/cell/seek.go
+++ b/cell/seek.go
@@ -33,7 +33,7 @@
 		}
 		for _, r := range w.runList {
 			s := r.stage
-			if s.unknown || !s.def.Lasting || s.job.state.Final() {
+			if s.unknown || !s.def.LongRunning || s.job.state.Final() {
 				continue
 			}
 			if lost[s]++; lost[s] == 1 {
--- a/cell/seek_test.go
+++ b/cell/seek_test.go
@@ -18,7 +18,7 @@
 	g := NewWithT(t)
 	r := newRig(2)
 	r.Configure([]Queue{{Name: "q", Pool: "p", MaxAttempts: 2, Advice: &Advice{Decide: time.Second, Valid: valid}}})
-	r.add("j", flow.Step{Count: 1, Demand: demand(1000), Lasting: true})
+	r.add("j", flow.Step{Count: 1, Demand: demand(1000), LongRunning: true})
 	r.add("k", flow.Step{Count: 1, Demand: demand(1000)})
 	both := []Ticket{{Worker: "w0", Text: "t"}, {Worker: "w1", Text: "t"}}
 	for _, a := range r.place().Asks {
--- a/cell/share_test.go
+++ b/cell/share_test.go
@@ -87,7 +87,7 @@
 	const count = 125
 	wide := func(shares ...string) *flow.Spec {
 		return &flow.Spec{ID: "j", Queue: "q", Cell: "cell-0", Shares: shares, Steps: []flow.Step{{
-			Count: count, Demand: demand(3800), Lasting: true, PerWorker: 1, MayMiss: 7,
+			Count: count, Demand: demand(3800), LongRunning: true, MaxPerWorker: 1, MaxUnavailable: 7,
 		}}}
 	}
 	submit := func(c *deployment, spec *flow.Spec) {
--- a/cell/stop.go
+++ b/cell/stop.go
@@ -71,7 +71,7 @@
 		// The other members of a gang should end by themselves.
 		return !s.def.Gang || now.Sub(s.doneAt) > gangEndGrace
 	}
-	return len(t.runs) > 1 && !s.def.Copies && t.runs[0] != r
+	return len(t.runs) > 1 && !s.def.Speculative && t.runs[0] != r
 }
 
 // checkStall marks a stalled run for stopping.
@@ -88,7 +88,7 @@
 
 // stallAfter returns how long r may go without progress.
 func (r *run) stallAfter() time.Duration {
-	if r.stage.def.Lasting {
+	if r.stage.def.LongRunning {
 		return maxStallTime
 	}
 	return min(max(r.stage.def.Estimate()*stallPercent/100, minStallTime), maxStallTime)
@@ -102,15 +102,15 @@
 	}
 	s := r.stage
 	left := r.worker.timeUntilLeave(now)
-	last := r.worker.Draining && !s.def.Lasting && left <= endListingMargin
+	last := r.worker.Draining && !s.def.LongRunning && left <= endListingMargin
 	// A gang cannot be moved member by member; it ends with the worker of any member.
 	if s.def.Gang && !last {
 		return
 	}
-	if !s.def.Lasting && r.remaining(now) < left-endListingMargin {
+	if !s.def.LongRunning && r.remaining(now) < left-endListingMargin {
 		return
 	}
-	if s.def.Lasting && !s.mayMove(r, left, now) {
+	if s.def.LongRunning && !s.mayMove(r, left, now) {
 		return
 	}
 	q := c.queues[s.job.spec.Queue]
@@ -140,9 +140,9 @@
 	if r.worker.Draining && left <= finalMoveLead {
 		return true
 	}
-	if s.def.MayMiss > 0 {
+	if s.def.MaxUnavailable > 0 {
 		// The limit is divided equally among the cells that run parts of the step.
-		return s.tasksAway() < s.def.MayMiss/max(s.job.share.Of, 1)
+		return s.tasksAway() < s.def.MaxUnavailable/max(s.job.share.Count, 1)
 	}
 	leaving, moving := 0, 0
 	for i := range s.tasks {
@@ -161,14 +161,14 @@
 // countPlaces counts the tasks of s that would find room now, up to the number of tasks of s.
 func (c *Cell) countPlaces(s *stage, q *Queue, now time.Time) int {
 	n := 0
-	room := s.def.Room()
+	room := s.def.Reservation()
 	for p := range c.permits(s, q, now) {
 		w := p.worker
 		if !w.usable() || !w.suits(s, q) || !w.health.allows(len(w.runs), now) || w.underTrial(now) {
 			continue
 		}
 		free := w.free.Sub(w.reserved)
-		for more := 0; free.Covers(&room) && (s.def.PerWorker == 0 || s.runsByWorker[w]+more < s.def.PerWorker); more++ {
+		for more := 0; free.Covers(&room) && (s.def.MaxPerWorker == 0 || s.runsByWorker[w]+more < s.def.MaxPerWorker); more++ {
 			free = free.Sub(room)
 			if n++; n >= len(s.tasks) {
 				return n
@@ -219,7 +219,7 @@
 		return
 	}
 	for _, r := range w.runList {
-		if r.stage.unknown || !r.stage.def.Copies || r.stage.def.Gang {
+		if r.stage.unknown || !r.stage.def.Speculative || r.stage.def.Gang {
 			continue
 		}
 		t := &r.stage.tasks[r.index]
--- a/cell/trial_test.go
+++ b/cell/trial_test.go
@@ -88,7 +88,7 @@
 	r.startAll()
 	s := r.jobs["j"].stages[0]
 	s.blamedLosses = maxWorkersInDoubt
-	s.tasks[0].crashes = []flow.Crash{{Run: 1, Blame: flow.BlameBeside}}
+	s.tasks[0].crashes = []flow.Crash{{Run: 1, Blame: flow.BlameUnlikely}}
 	r.now = r.now.Add(time.Second)
 	r.Listed("w0", Lists{}, r.now, r.now)
 	g.Expect(s.waiting).To(Equal(1))
@@ -105,7 +105,7 @@
 	g := NewWithT(t)
 	s := newCrashSim(1, 2, 2)
 	s.length = endless
-	s.add("j", flow.Step{Count: 1, Demand: demand(1000), Lasting: true})
+	s.add("j", flow.Step{Count: 1, Demand: demand(1000), LongRunning: true})
 	for range 5 {
 		s.run(crashClearTime + 2*time.Second)
 		task := flow.TaskID{Job: "j"}
--- a/cell/wait.go
+++ b/cell/wait.go
@@ -104,7 +104,7 @@
 
 func (c *Cell) countCandidate(n *Candidates, s *stage, w *worker, q *Queue, now time.Time) {
 	n.All++
-	room := s.def.Room()
+	room := s.def.Reservation()
 	if s.atPerWorkerLimit(w) || !w.health.allows(len(w.runs), now) {
 		return
 	}
--- a/cell/worker.go
+++ b/cell/worker.go
@@ -381,11 +381,11 @@
 
 // adopt records a run that another owner started. If the run is not wanted the next check stops it.
 func (c *Cell) adopt(w *worker, row *Running, now time.Time) *run {
-	s := c.stage(flow.StepID{Job: row.Task.Job, Time: row.Task.Time, Step: row.Task.Step})
+	s := c.stage(flow.StepID{Job: row.Task.Job, Round: row.Task.Round, Step: row.Task.Step})
 	if s == nil || row.Task.Index >= len(s.tasks) || s.tasks[row.Task.Index].state == taskElsewhere {
-		s = &stage{job: &job{spec: &flow.Spec{ID: row.Task.Job}, state: flow.Canceled}, time: row.Task.Time, step: row.Task.Step, def: &flow.Step{}, unknown: true}
+		s = &stage{job: &job{spec: &flow.Spec{ID: row.Task.Job}, state: flow.Canceled}, time: row.Task.Round, step: row.Task.Step, def: &flow.Step{}, unknown: true}
 	}
-	r := &run{stage: s, index: row.Task.Index, number: row.Run, worker: w, decidedAt: now, room: s.def.Room()}
+	r := &run{stage: s, index: row.Task.Index, number: row.Run, worker: w, decidedAt: now, room: s.def.Reservation()}
 	w.addRun(r)
 	c.runsNeedCheck = true
 	if !s.unknown {
--- a/claim/claim.go
+++ b/claim/claim.go
@@ -120,9 +120,9 @@
 
 // SnapshotOf returns the lease in the response to a read of Range that was sent at the given time.
 func SnapshotOf(page rows.Page, asked time.Time) Snapshot {
-	row := page.One()
-	if row.Ver == 0 && len(page.Bad) > 0 {
-		row.Ver = page.Bad[0].Ver
+	row := page.First()
+	if row.Ver == 0 && len(page.BadRows) > 0 {
+		row.Ver = page.BadRows[0].Ver
 	}
 	s := Snapshot{Lease: decodeLease(row), Ver: row.Ver, clock: storeClock{ms: page.ClockMS, requestedAt: asked}}
 	if s.WrittenMS > 0 && page.ClockMS > s.WrittenMS {
@@ -217,7 +217,7 @@
 
 // Range returns the range that contains only the lease of the cell.
 func Range(cell string) rows.Range {
-	return rows.Only(rows.Key{Table: Table, Part: cell, Name: leaseRowName})
+	return rows.KeyRange(rows.Key{Table: Table, Part: cell, Name: leaseRowName})
 }
 
 func (c *Claim) key() rows.Key { return rows.Key{Table: Table, Part: c.Cell, Name: leaseRowName} }
@@ -330,10 +330,10 @@
 // sendOnce sends the write once. While there is no response it polls the lease.
 func (c *Claim) sendOnce(ctx context.Context, t rows.Tx, mark string) (rows.Result, error) {
 	begun := clock.Now()
-	send := rows.Attempt{
-		Store: c.Store, Tx: t, Every: outcomePollInterval,
-		Limit: min(max(resendFactor*c.avgResponse, minResendDelay), maxResendDelay),
-		Look:  func(ctx context.Context) (rows.Result, bool, error) { return c.readOutcome(ctx, mark) },
+	send := rows.WriteAttempt{
+		Store: c.Store, Tx: t, Interval: outcomePollInterval,
+		Timeout: min(max(resendFactor*c.avgResponse, minResendDelay), maxResendDelay),
+		Lookup:  func(ctx context.Context) (rows.Result, bool, error) { return c.readOutcome(ctx, mark) },
 	}
 	res, answered, err := send.Send(ctx)
 	if !answered {
@@ -380,7 +380,7 @@
 	if err != nil {
 		return rows.Result{}, false, err
 	}
-	row := page.One()
+	row := page.First()
 	if row.Ver <= c.ver {
 		// The row has not changed yet, or the response is stale.
 		return rows.Result{}, false, nil
--- a/claim/claim_test.go
+++ b/claim/claim_test.go
@@ -84,7 +84,7 @@
 	return rows.Page{Rows: []rows.Row{t.row}, Ver: t.ver, ClockMS: t.clockMS}, nil
 }
 
-func (t *singleRowStore) Feed(context.Context, rows.Since) (rows.Page, error) {
+func (t *singleRowStore) Feed(context.Context, rows.FeedQuery) (rows.Page, error) {
 	return rows.Page{}, nil
 }
 
--- a/claim/foreign_test.go
+++ b/claim/foreign_test.go
@@ -22,7 +22,7 @@
 		g.Expect(seen.Epoch).To(Equal(uint64(41)), "no epoch is above the versions of its writes")
 		g.Expect(seen.Expiry()).To(Equal(DefaultExpiry))
 	}
-	seen := SnapshotOf(rows.Page{Bad: []rows.Bad{{Ver: 41, Reason: "value"}}}, now)
+	seen := SnapshotOf(rows.Page{BadRows: []rows.BadRow{{Ver: 41, Reason: "value"}}}, now)
 	g.Expect(seen.Ver).To(Equal(uint64(41)))
 	g.Expect(seen.Owner).NotTo(BeEmpty())
 	g.Expect(SnapshotOf(rows.Page{}, now).Owner).To(BeEmpty(), "a lease that was never written is free")
--- a/claim/suspend_test.go
+++ b/claim/suspend_test.go
@@ -38,7 +38,7 @@
 	return page, nil
 }
 
-func (s *onlyLease) Feed(context.Context, rows.Since) (rows.Page, error) { return rows.Page{}, nil }
+func (s *onlyLease) Feed(context.Context, rows.FeedQuery) (rows.Page, error) { return rows.Page{}, nil }
 
 func TestSuspensionEndsALease(t *testing.T) {
 	g := NewWithT(t)
--- a/cluster/accept.go
+++ b/cluster/accept.go
@@ -142,14 +142,14 @@
 // retryAfter returns after what time a caller that is refused now should retry. id spreads the
 // retries of several callers.
 func (n *Instance) retryAfter(id string) time.Duration {
-	return retry.After(n.storeClient.Silence(), id)
+	return retry.Delay(n.storeClient.Silence(), id)
 }
 
 // chooseCell returns the least loaded cell for a job, or one chosen by hash while no owner is heard.
 // It returns "" while the cells are not known.
 func (n *Instance) chooseCell(spec *flow.Spec) string {
 	if p := n.candidates(spec); len(p) > 0 {
-		n.members.addSentWork(p[0].name, spec.Work().Milliseconds())
+		n.members.addSentWork(p[0].name, spec.EstimatedWork().Milliseconds())
 		return p[0].cell
 	}
 	return n.division.hashCell(spec.ID)
@@ -253,9 +253,9 @@
 
 // sendJobTx sends the write once. While there is no answer it checks whether the job is stored.
 func (n *Instance) sendJobTx(ctx context.Context, home rows.Key, t rows.Tx) (rows.Result, error) {
-	send := rows.Attempt{
-		Store: n.storeClient, Tx: t, Every: acceptCheckInterval, Limit: n.storeClient.Patience(),
-		Look: func(ctx context.Context) (rows.Result, bool, error) { return n.checkJobStored(ctx, home) },
+	send := rows.WriteAttempt{
+		Store: n.storeClient, Tx: t, Interval: acceptCheckInterval, Timeout: n.storeClient.ResendDelay(),
+		Lookup: func(ctx context.Context) (rows.Result, bool, error) { return n.checkJobStored(ctx, home) },
 	}
 	res, _, err := send.Send(ctx)
 	return res, err
@@ -269,8 +269,8 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, acceptCheckTimeout)
 	defer cancel()
-	page, err := n.storeClient.Get(ctx, rows.Only(home))
-	if err == nil && page.One().Ver > 0 {
+	page, err := n.storeClient.Get(ctx, rows.KeyRange(home))
+	if err == nil && page.First().Ver > 0 {
 		return rows.Result{Refused: true, Rows: page.Rows}, true, nil
 	}
 	return rows.Result{}, false, nil
--- a/cluster/advise.go
+++ b/cluster/advise.go
@@ -65,7 +65,7 @@
 	ctx, cancel := context.WithTimeout(ctx, by.adviceBacklog+2*a.Takes()+adviceSlack)
 	defer cancel()
 	reply, err := n.dialer.Do(ctx, by.addr, &wire.Request{Body: &wire.Request_Advice{Advice: &wire.AdviceQuery{
-		Job: a.Step.Job, Time: uint32(a.Step.Time), Step: uint32(a.Step.Step), Workers: a.Workers,
+		Job: a.Step.Job, Time: uint32(a.Step.Round), Step: uint32(a.Step.Step), Workers: a.Workers,
 	}}})
 	if err != nil {
 		return driver.Tickets{}, err
@@ -137,7 +137,7 @@
 	if n.Advisor == nil {
 		return nil, kind.New(kind.Unavailable, "no policy service is configured")
 	}
-	t, err := n.Advisor.Advise(ctx, flow.StepID{Job: q.Job, Time: int(q.Time), Step: int(q.Step)}, q.Workers)
+	t, err := n.Advisor.Advise(ctx, flow.StepID{Job: q.Job, Round: int(q.Time), Step: int(q.Step)}, q.Workers)
 	if err != nil {
 		return nil, err
 	}
--- a/cluster/badrows.go
+++ b/cluster/badrows.go
@@ -29,7 +29,7 @@
 	return &badRows{log: kit.Log, count: kit.Scope.Counter("bad_rows_total")}
 }
 
-func (b *badRows) note(all []rows.Bad) {
+func (b *badRows) note(all []rows.BadRow) {
 	if len(all) == 0 {
 		return
 	}
--- a/cluster/carry.go
+++ b/cluster/carry.go
@@ -23,7 +23,7 @@
 // Ready implements driver.Carriers. The orders of an owner that does not reach the store itself are
 // not relayed. Such an owner does not learn from the store that a worker leaves or that a job was
 // cancelled, and relays that do reach it would carry out its outdated orders.
-func (s relays) Ready() bool { return s.n.storeClient.DirectOK() }
+func (s relays) Ready() bool { return s.n.storeClient.DirectlyReachable() }
 
 // Starts implements driver.Carriers.
 func (s relays) Starts(ctx context.Context, hall string, orders []driver.StartOrder, limit time.Duration) ([]driver.StartResult, error) {
@@ -96,7 +96,7 @@
 // startOrders returns the message for orders, all of one step.
 func startOrders(orders []driver.StartOrder, limit time.Duration) *wire.StartOrders {
 	task := orders[0].Task
-	m := &wire.StartOrders{Text: orders[0].Text, Job: task.Job, Time: uint32(task.Time), Step: uint32(task.Step)}
+	m := &wire.StartOrders{Text: orders[0].Text, Job: task.Job, Time: uint32(task.Round), Step: uint32(task.Step)}
 	for i := range orders {
 		o := &orders[i]
 		m.Orders = append(m.Orders, &wire.StartOrder{
@@ -159,11 +159,11 @@
 }
 
 func taskID(t *wire.TaskName) flow.TaskID {
-	return flow.TaskID{Job: t.GetJob(), Time: int(t.GetTime()), Step: int(t.GetStep()), Index: int(t.GetIndex())}
+	return flow.TaskID{Job: t.GetJob(), Round: int(t.GetTime()), Step: int(t.GetStep()), Index: int(t.GetIndex())}
 }
 
 func taskName(t flow.TaskID) *wire.TaskName {
-	return &wire.TaskName{Job: t.Job, Time: uint32(t.Time), Step: uint32(t.Step), Index: uint32(t.Index)}
+	return &wire.TaskName{Job: t.Job, Time: uint32(t.Round), Step: uint32(t.Step), Index: uint32(t.Index)}
 }
 
 // handleHold relays a hold order to a worker for the cell's owner.
@@ -220,7 +220,7 @@
 	sent := clock.Now()
 	a, err := n.RelayWorkers.Start(ctx, driver.StartOrder{
 		Target: driver.Target{Worker: o.Worker, Addr: o.Addr, Fence: o.Fence},
-		Task:   flow.TaskID{Job: m.Job, Time: int(m.Time), Step: int(m.Step), Index: int(o.Index)},
+		Task:   flow.TaskID{Job: m.Job, Round: int(m.Time), Step: int(m.Step), Index: int(o.Index)},
 		Run:    int(o.Run), Text: m.Text, Saved: o.Saved, Ticket: o.Ticket, LeaseUntilMS: o.UntilMs,
 	})
 	return &wire.StartResult{
--- a/cluster/carry_test.go
+++ b/cluster/carry_test.go
@@ -43,7 +43,7 @@
 	if o.Worker == "gone" {
 		return driver.HoldAnswer{}, kind.New(kind.NotFound, "another life")
 	}
-	run := cell.Running{Task: flow.TaskID{Job: "j", Time: 1, Step: 2, Index: 3}, Run: 4, Checkpoint: "s", Percent: 50, Tail: 9}
+	run := cell.Running{Task: flow.TaskID{Job: "j", Round: 1, Step: 2, Index: 3}, Run: 4, Checkpoint: "s", Percent: 50, Tail: 9}
 	return driver.HoldAnswer{ClockMS: 7, Lists: cell.Lists{Running: []cell.Running{run}, Finished: w.finished, Truncated: true}}, nil
 }
 
@@ -59,7 +59,7 @@
 	order := func(worker string, index int) driver.StartOrder {
 		return driver.StartOrder{
 			Target: driver.Target{Worker: worker, Addr: "a", Fence: 99},
-			Task:   flow.TaskID{Job: "j", Time: 1, Step: 2, Index: index}, Run: 5, Text: "text", Saved: "s", Ticket: "t", LeaseUntilMS: 1234,
+			Task:   flow.TaskID{Job: "j", Round: 1, Step: 2, Index: index}, Run: 5, Text: "text", Saved: "s", Ticket: "t", LeaseUntilMS: 1234,
 		}
 	}
 
@@ -103,7 +103,7 @@
 		Expect(a.EndsOnly).To(BeFalse())
 		Expect(a.Lists.Truncated).To(BeTrue())
 		Expect(a.ClockMS).To(Equal(int64(7)))
-		Expect(a.Lists.Running).To(Equal([]cell.Running{{Task: flow.TaskID{Job: "j", Time: 1, Step: 2, Index: 3}, Run: 4, Checkpoint: "s", Percent: 50, Tail: 9}}))
+		Expect(a.Lists.Running).To(Equal([]cell.Running{{Task: flow.TaskID{Job: "j", Round: 1, Step: 2, Index: 3}, Run: 4, Checkpoint: "s", Percent: 50, Tail: 9}}))
 		w.finished = []cell.Finished{{Number: 3, Task: flow.TaskID{Job: "j"}, Run: 2, How: flow.EndDone, Checkpoint: "x"}}
 		a, err = hold("good", false)
 		Expect(err).NotTo(HaveOccurred())
--- a/cluster/configs.go
+++ b/cluster/configs.go
@@ -77,7 +77,7 @@
 	n.kit.Scope.Counter("calls_unauthorized_total").Inc(1)
 	level.Info(n.kit.Log).Log("event", "unauthorized", "queue", queue, "config", n.config.Version(), "age_ms", age.Milliseconds())
 	if heard == nil || age > configFreshTime {
-		return kind.New(kind.Unavailable, "the configuration may be older than the key").After(retry.Least)
+		return kind.New(kind.Unavailable, "the configuration may be older than the key").After(retry.MinDelay)
 	}
 	return kind.New(kind.Unauthorized, "the queue needs a valid key of a client account")
 }
@@ -87,7 +87,7 @@
 	var f feedState
 	for ctx.Err() == nil {
 		now := clock.Now()
-		interval := fullReadInterval(n.config.Now()) * time.Duration(fullReadDivisor(n.members.liveInHall(now)))
+		interval := fullReadInterval(n.config.Load()) * time.Duration(fullReadDivisor(n.members.liveInHall(now)))
 		full := f.needsFullRead(now, interval)
 		begun := clock.Now()
 		c, from, at, err := n.readConfig(ctx, full, f.position)
@@ -195,7 +195,7 @@
 	if err != nil || len(reply.GetConfig().GetDoc()) == 0 {
 		return nil, err
 	}
-	raw, err := config.Unpack(reply.GetConfig().Doc)
+	raw, err := config.Decompress(reply.GetConfig().Doc)
 	if err != nil {
 		return nil, err
 	}
--- a/cluster/configs_test.go
+++ b/cluster/configs_test.go
@@ -111,7 +111,7 @@
 			mu.Lock()
 			now--
 			mu.Unlock()
-			doc := (&config.Config{Raw: []byte("doc")}).Packed()
+			doc := (&config.Config{Raw: []byte("doc")}).Compressed()
 			return &wire.Reply{Body: &wire.Reply_Config{Config: &wire.ConfigDoc{Doc: doc}}}
 		}))
 		n.ParseConfig = func(raw []byte) (*config.Config, error) {
@@ -204,7 +204,7 @@
 		good, err := net.Listen("tcp", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
 		server := &link.Server{Handler: handlerFunc(func(*wire.Request) *wire.Reply {
-			return &wire.Reply{Body: &wire.Reply_Config{Config: &wire.ConfigDoc{Doc: (&config.Config{Raw: []byte("doc")}).Packed()}}}
+			return &wire.Reply{Body: &wire.Reply_Config{Config: &wire.ConfigDoc{Doc: (&config.Config{Raw: []byte("doc")}).Compressed()}}}
 		})}
 		go server.Serve(good)
 		DeferCleanup(server.Close)
@@ -285,7 +285,7 @@
 			return reply.GetConfig().GetDoc()
 		}
 		Expect(len(ask(6))).To(BeNumerically("<", len(raw)/10))
-		back, err := config.Unpack(ask(6))
+		back, err := config.Decompress(ask(6))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(back).To(Equal(raw))
 		Expect(ask(7)).To(BeEmpty())
--- a/cluster/counted.go
+++ b/cluster/counted.go
@@ -30,15 +30,15 @@
 	begun := clock.Now()
 	page, err := s.Store.Get(ctx, r)
 	s.calls.Done("get", begun, err)
-	s.bad.note(page.Bad)
+	s.bad.note(page.BadRows)
 	return page, err
 }
 
-func (s countedStore) Feed(ctx context.Context, f rows.Since) (rows.Page, error) {
+func (s countedStore) Feed(ctx context.Context, f rows.FeedQuery) (rows.Page, error) {
 	begun := clock.Now()
 	page, err := s.Store.Feed(ctx, f)
 	s.calls.Done("feed", begun, err)
-	s.bad.note(page.Bad)
+	s.bad.note(page.BadRows)
 	return page, err
 }
 
--- a/cluster/division.go
+++ b/cluster/division.go
@@ -95,12 +95,12 @@
 // cells: a cell that may not move a single task could never drain a machine for its upkeep.
 func (d *division) sharedWith(spec *flow.Spec, cell string) []string {
 	names := d.cells()
-	if len(names) < 2 || !spec.MayShare() {
+	if len(names) < 2 || !spec.Shareable() {
 		return nil
 	}
 	perCell := cmp.Or(int(d.workersPerCell.Load()), maxWorkersPerCell)
-	wide := func(s flow.Step) bool { return s.PerWorker > 0 && s.Count*shareDivisor > perCell*s.PerWorker }
-	indivisible := func(s flow.Step) bool { return s.MayMiss > 0 && s.MayMiss < len(names) }
+	wide := func(s flow.Step) bool { return s.MaxPerWorker > 0 && s.Count*shareDivisor > perCell*s.MaxPerWorker }
+	indivisible := func(s flow.Step) bool { return s.MaxUnavailable > 0 && s.MaxUnavailable < len(names) }
 	if !slices.ContainsFunc(spec.Steps, wide) || slices.ContainsFunc(spec.Steps, indivisible) {
 		return nil
 	}
@@ -162,11 +162,11 @@
 
 // readDivision reads the division. The result has 0 cells if it is not decided yet.
 func (n *Instance) readDivision(ctx context.Context) (divisionRow, error) {
-	page, err := n.storeClient.Get(ctx, rows.Only(divisionKey))
+	page, err := n.storeClient.Get(ctx, rows.KeyRange(divisionKey))
 	if err != nil {
 		return divisionRow{}, err
 	}
-	row := page.One()
+	row := page.First()
 	if row.Ver == 0 {
 		return divisionRow{}, nil
 	}
--- a/cluster/ends_test.go
+++ b/cluster/ends_test.go
@@ -54,7 +54,7 @@
 		n := testInstance(&fakePolicy{})
 		n.division.set(1)
 		n.storeClient.Direct = unavailableStore{}
-		n.storeClient.Carry = nil
+		n.storeClient.Relay = nil
 		n.applySuccesses([]string{"j"}, "owner")
 		Expect(n.State(ctx, "j")).To(Equal(flow.Succeeded))
 	})
--- a/cluster/greet.go
+++ b/cluster/greet.go
@@ -43,7 +43,7 @@
 func (n *Instance) greeting() *wire.Greeting {
 	g := &wire.Greeting{
 		Instance: n.settings.Instance, Hall: n.settings.Hall, Boot: n.boot, Addr: n.settings.Listen.Peer,
-		Processor: n.processor(), Leaving: n.leaving.Load(), ConfigVersion: n.config.Version(), StoreOk: n.storeClient.DirectOK(),
+		Processor: n.processor(), Leaving: n.leaving.Load(), ConfigVersion: n.config.Version(), StoreOk: n.storeClient.DirectlyReachable(),
 	}
 	for name, c := range n.ownCells() {
 		d, written := c.driver, c.claim.LastWrite()
@@ -208,7 +208,7 @@
 
 // readMembers reads the store's list of instances, and reports whether that succeeded.
 func (n *Instance) readMembers(ctx context.Context) ([]rows.Row, bool) {
-	all, _, err := rows.All(ctx, n.storeClient, rows.Range{Table: membersTable})
+	all, _, err := rows.ReadAll(ctx, n.storeClient, rows.Range{Table: membersTable})
 	if err != nil {
 		return nil, false
 	}
@@ -216,7 +216,7 @@
 	for _, r := range all {
 		m, err := decodeMember(r.Value)
 		if err != nil {
-			n.badRows.note([]rows.Bad{{Key: r.Key, Ver: r.Ver, Reason: err.Error()}})
+			n.badRows.note([]rows.BadRow{{Key: r.Key, Ver: r.Ver, Reason: err.Error()}})
 			continue
 		}
 		listed = append(listed, m)
--- a/cluster/instance.go
+++ b/cluster/instance.go
@@ -67,7 +67,7 @@
 
 	storeClient *rows.Client
 	configs     ConfigSource
-	config      config.Register
+	config      config.Latest
 	// fetchingConfig is true while the configuration is being requested from a peer.
 	fetchingConfig atomic.Bool
 	// configDataAt is when data of the store's answer with the configuration last arrived.
@@ -200,7 +200,7 @@
 		reloadable: reloadableOf(s.Cluster),
 	}
 	n.server = &link.Server{Handler: n}
-	n.storeClient = &rows.Client{Direct: n.Store, Now: clock.Now, Carry: n.relayStoreCall, Changed: n.logStoreState}
+	n.storeClient = &rows.Client{Direct: n.Store, Now: clock.Now, Relay: n.relayStoreCall, OnChange: n.logStoreState}
 	n.configs = services.Configs(n.storeClient.DirectOnly(n.noteConfigData))
 	return n
 }
@@ -238,7 +238,7 @@
 			lastProbe = now
 			next++
 			go n.probeLease(ctx, name)
-			if !n.storeClient.DirectOK() && !n.storeClient.Carried(relayedFreshness) {
+			if !n.storeClient.DirectlyReachable() && !n.storeClient.RelayedWithin(relayedFreshness) {
 				go n.probeByPeer(ctx, name)
 			}
 		}
@@ -249,14 +249,14 @@
 // probeByPeer checks whether the store can still be reached through a peer. Otherwise only
 // relayed calls show that, and there are none while jobs are refused.
 func (n *Instance) probeByPeer(ctx context.Context, name string) {
-	n.probe(ctx, name, n.storeClient.ProbePeer)
+	n.probe(ctx, name, n.storeClient.ProbeViaPeer)
 }
 
 // probeRedundant reports whether a probe of a cell's lease would bring nothing new: the store has
 // just answered another call, and the age of the lease is known from its owner or can be computed
 // from the store's clock.
 func (n *Instance) probeRedundant(name string, now time.Time) bool {
-	return n.storeClient.Answered(answerFreshness) &&
+	return n.storeClient.AnsweredDirectly(answerFreshness) &&
 		(n.listed.Load() || n.ownDriver(name) != nil || n.ownerHeard(name, now, ownerTimeout))
 }
 
@@ -266,7 +266,7 @@
 }
 
 func (n *Instance) probe(ctx context.Context, name string, get func(context.Context, rows.Range) (rows.Page, error)) {
-	r := rows.Only(divisionKey)
+	r := rows.KeyRange(divisionKey)
 	if name != "" {
 		r = claim.Range(name)
 	}
@@ -278,7 +278,7 @@
 }
 
 // Config returns the newest configuration, nil if there is none yet.
-func (n *Instance) Config() *config.Config { return n.config.Now() }
+func (n *Instance) Config() *config.Config { return n.config.Load() }
 
 // listen starts the servers for peers and clients, and returns the other servers (readiness and
 // metrics).
@@ -327,7 +327,7 @@
 
 // Ready reports whether clients may be routed to this instance.
 func (n *Instance) Ready() bool {
-	known := n.config.Now() != nil && len(n.division.cells()) > 0
+	known := n.config.Load() != nil && len(n.division.cells()) > 0
 	return known && !n.leaving.Load() && n.storeClient.Reachable()
 }
 
--- a/cluster/jobs.go
+++ b/cluster/jobs.go
@@ -117,7 +117,7 @@
 func (n *Instance) localityGain(spec *flow.Spec, cell string) float64 {
 	gain := 0.0
 	for i := range spec.Steps {
-		if rack := spec.Steps[i].Near; rack != "" && n.division.hashCell(rack) == cell {
+		if rack := spec.Steps[i].PreferredRack; rack != "" && n.division.hashCell(rack) == cell {
 			gain += localityBonus / float64(len(spec.Steps))
 		}
 	}
@@ -282,7 +282,7 @@
 	case ended.Ver == 0:
 		return state, nil
 	}
-	e, err := flow.DecodeEnded(ended.Value)
+	e, err := flow.DecodeFinalRecord(ended.Value)
 	if err != nil {
 		return "", kind.Wrap(kind.Damaged, err, "the end of the job")
 	}
@@ -292,14 +292,14 @@
 // readJobRow reads a row of a job; its version is 0 if there is none. It fails at once while the
 // store is known to be unreachable.
 func (n *Instance) readJobRow(ctx context.Context, key rows.Key) (rows.Row, error) {
-	if n.storeClient.KnownAway() {
+	if n.storeClient.KnownUnreachable() {
 		return rows.Row{}, kind.New(kind.Unavailable, "the store is not reached").After(n.retryAfter(key.Name))
 	}
-	page, err := n.storeClient.Get(ctx, rows.Only(key))
+	page, err := n.storeClient.Get(ctx, rows.KeyRange(key))
 	if err != nil {
 		return rows.Row{}, kind.Wrap(kind.Unavailable, err, "the job's row in "+key.Table).After(n.retryAfter(key.Name))
 	}
-	return page.One(), nil
+	return page.First(), nil
 }
 
 // Cancel cancels a job. Its error is of kind NotFound if there is no such job.
--- a/cluster/jobs_test.go
+++ b/cluster/jobs_test.go
@@ -32,7 +32,9 @@
 
 func (t staticStore) Tx(context.Context, rows.Tx) (rows.Result, error) { return rows.Result{}, nil }
 
-func (t staticStore) Feed(context.Context, rows.Since) (rows.Page, error) { return rows.Page{}, nil }
+func (t staticStore) Feed(context.Context, rows.FeedQuery) (rows.Page, error) {
+	return rows.Page{}, nil
+}
 
 // instanceWithOwner returns an instance that has heard the owner of the only cell, a peer whose
 // requests h answers.
@@ -78,7 +80,7 @@
 		Expect(state).To(Equal(flow.Running))
 		n.storeClient.Direct = staticStore{
 			driver.HomeKey("old"):  []byte("cell-0"),
-			driver.EndedKey("old"): flow.Encode(flow.Ended{State: flow.Succeeded}),
+			driver.EndedKey("old"): flow.Encode(flow.FinalRecord{State: flow.Succeeded}),
 		}
 		state, err = n.State(ctx, "old")
 		Expect(err).NotTo(HaveOccurred())
@@ -105,7 +107,7 @@
 var _ = Describe("the state of a job whose cell has no owner", func() {
 	It("is that of its end, with or without a record, else that of the record", func(ctx context.Context) {
 		running := flow.Encode(flow.Record{State: flow.Running})
-		ended := flow.Encode(flow.Ended{State: flow.Succeeded})
+		ended := flow.Encode(flow.FinalRecord{State: flow.Succeeded})
 		for _, c := range []struct {
 			record, ended []byte
 			want          flow.State
@@ -195,7 +197,7 @@
 
 	It("finds no job if that has ended and its owner does not know it", func(ctx context.Context) {
 		n := instanceWithOwner(&lateOwner{})
-		n.storeClient.Direct = staticStore{driver.HomeKey("j"): []byte("cell-0"), driver.EndedKey("j"): flow.Encode(flow.Ended{State: flow.Succeeded})}
+		n.storeClient.Direct = staticStore{driver.HomeKey("j"): []byte("cell-0"), driver.EndedKey("j"): flow.Encode(flow.FinalRecord{State: flow.Succeeded})}
 		Expect(kind.Is(n.Cancel(ctx, "j"), kind.NotFound)).To(BeTrue())
 	})
 })
--- a/cluster/own.go
+++ b/cluster/own.go
@@ -66,7 +66,7 @@
 // client accounts, so that no owner has to ask another one before a start, nor to know for how long
 // one that is cut off continues to start tasks.
 func (n *Instance) configure(d *driver.Driver) {
-	if conf := n.config.Now(); conf != nil {
+	if conf := n.config.Load(); conf != nil {
 		d.Configure(conf.CellQueues(), conf.CellAccounts(len(n.division.cells()))...)
 	}
 }
--- a/cluster/peers.go
+++ b/cluster/peers.go
@@ -39,12 +39,12 @@
 	case *wire.Request_Hold:
 		return n.handleHold(ctx, b.Hold), nil
 	case *wire.Request_Store:
-		answer, err := n.storeClient.Serve(ctx, b.Store.Call)
+		answer, err := n.storeClient.ServeRelayed(ctx, b.Store.Call)
 		return &wire.Reply{Body: &wire.Reply_Store{Store: &wire.StoreAnswer{Answer: answer}}}, err
 	case *wire.Request_Config:
 		doc := &wire.ConfigDoc{}
-		if c := n.config.Now(); c != nil && c.Version > b.Config.Above {
-			doc.Doc = c.Packed()
+		if c := n.config.Load(); c != nil && c.Version > b.Config.Above {
+			doc.Doc = c.Compressed()
 		}
 		return &wire.Reply{Body: &wire.Reply_Config{Config: doc}}, nil
 	}
--- a/cluster/share_test.go
+++ b/cluster/share_test.go
@@ -58,7 +58,7 @@
 
 var _ = Describe("a wide job of long-running tasks", func() {
 	wide := func() *flow.Spec {
-		return &flow.Spec{ID: "j", Queue: "q", Cell: "cell-0", Shares: []string{"cell-1"}, Steps: []flow.Step{{Count: 100, Lasting: true, PerWorker: 1}}}
+		return &flow.Spec{ID: "j", Queue: "q", Cell: "cell-0", Shares: []string{"cell-1"}, Steps: []flow.Step{{Count: 100, LongRunning: true, MaxPerWorker: 1}}}
 	}
 	// deployment returns an instance that has heard a peer that owns two cells.
 	deployment := func(p *cellsPeer, store staticStore) *Instance {
@@ -77,11 +77,11 @@
 		var d division
 		d.set(3)
 		d.workersPerCell.Store(366)
-		step := flow.Step{Count: 92, Lasting: true, PerWorker: 1}
+		step := flow.Step{Count: 92, LongRunning: true, MaxPerWorker: 1}
 		Expect(d.sharedWith(&flow.Spec{Steps: []flow.Step{step}}, "cell-1")).To(Equal([]string{"cell-0", "cell-2"}))
 		for _, narrow := range []flow.Step{
-			{Count: 91, Lasting: true, PerWorker: 1}, {Count: 92, Lasting: true}, {Count: 92, PerWorker: 1},
-			{Count: 92, Lasting: true, PerWorker: 1, MayMiss: 2}, {Count: 92, Lasting: true, PerWorker: 2}, {Count: 92, Lasting: true, PerWorker: 1, Gang: true},
+			{Count: 91, LongRunning: true, MaxPerWorker: 1}, {Count: 92, LongRunning: true}, {Count: 92, MaxPerWorker: 1},
+			{Count: 92, LongRunning: true, MaxPerWorker: 1, MaxUnavailable: 2}, {Count: 92, LongRunning: true, MaxPerWorker: 2}, {Count: 92, LongRunning: true, MaxPerWorker: 1, Gang: true},
 		} {
 			Expect(d.sharedWith(&flow.Spec{Steps: []flow.Step{narrow}}, "cell-1")).To(BeEmpty())
 		}
--- a/cluster/turned_away_test.go
+++ b/cluster/turned_away_test.go
@@ -27,7 +27,7 @@
 func (unavailableStore) Tx(context.Context, rows.Tx) (rows.Result, error) {
 	return rows.Result{}, errBusy
 }
-func (unavailableStore) Feed(ctx context.Context, _ rows.Since) (rows.Page, error) {
+func (unavailableStore) Feed(ctx context.Context, _ rows.FeedQuery) (rows.Page, error) {
 	return rows.Page{}, errBusy
 }
 
@@ -53,7 +53,7 @@
 		n.division.set(1)
 		n.storeClient.Direct = unavailableStore{}
 		peer := &rows.Client{Direct: staticStore{}, Now: time.Now}
-		n.storeClient.Carry = peer.Serve
+		n.storeClient.Relay = peer.ServeRelayed
 		ctx, cancel := context.WithCancel(ctx)
 		defer cancel()
 		go n.probeStore(ctx)
@@ -78,37 +78,37 @@
 		n.storeClient.Direct = staticStore{}
 		begun := time.Now()
 		Expect(n.Submit(ctx, &flow.Spec{ID: "0123456789abcdef"})).To(MatchError(ContainSubstring("not reached")))
-		Expect(time.Since(begun)).To(BeNumerically(">=", retry.Patience))
+		Expect(time.Since(begun)).To(BeNumerically(">=", retry.MaxWait))
 		Expect(n.waitingCallers.Load()).To(BeZero())
 
 		go func() {
-			time.Sleep(retry.Patience / 4)
+			time.Sleep(retry.MaxWait / 4)
 			n.probeLease(ctx, "")
 		}()
 		Expect(n.Submit(ctx, &flow.Spec{ID: "0123456789abcdef", Steps: []flow.Step{{Count: 1}}})).To(Succeed())
 
 		n.storeClient.Now = func() time.Time { return time.Now().Add(time.Minute) }
-		short, cancel := context.WithTimeout(ctx, retry.Patience)
+		short, cancel := context.WithTimeout(ctx, retry.MaxWait)
 		defer cancel()
 		begun = time.Now()
 		Expect(n.Submit(short, &flow.Spec{ID: "0123456789abcdef"})).To(MatchError(ContainSubstring("not reached")))
-		Expect(time.Since(begun)).To(BeNumerically("<", retry.Patience/2), "the caller has little time left")
+		Expect(time.Since(begun)).To(BeNumerically("<", retry.MaxWait/2), "the caller has little time left")
 		n.leaving.Store(true)
 		begun = time.Now()
 		Expect(n.Submit(ctx, &flow.Spec{ID: "0123456789abcdef"})).To(MatchError(ContainSubstring("not reached")))
-		Expect(time.Since(begun)).To(BeNumerically("<", retry.Patience/2), "a planned stop does not wait")
+		Expect(time.Since(begun)).To(BeNumerically("<", retry.MaxWait/2), "a planned stop does not wait")
 		n.leaving.Store(false)
-		n.waitingCallers.Store(retry.WaitingMost)
+		n.waitingCallers.Store(retry.MaxWaiting)
 		begun = time.Now()
 		Expect(n.Submit(ctx, &flow.Spec{ID: "0123456789abcdef"})).To(MatchError(ContainSubstring("not reached")))
-		Expect(time.Since(begun)).To(BeNumerically("<", retry.Patience), "too many wait already")
+		Expect(time.Since(begun)).To(BeNumerically("<", retry.MaxWait), "too many wait already")
 	})
 
 	It("says at once that the state of a job is unavailable when no peer reaches the store either", func(ctx context.Context) {
 		n := testInstance(&fakePolicy{})
 		n.division.set(1)
 		n.storeClient.Direct = unavailableStore{}
-		n.storeClient.Carry = nil
+		n.storeClient.Relay = nil
 		n.probeLease(ctx, "")
 		n.storeClient.Direct = silentStore{}
 		begun := time.Now()
--- a/cluster/upkeep.go
+++ b/cluster/upkeep.go
@@ -39,8 +39,8 @@
 	r := upkeep.Runner{
 		Platform: platform, Store: n.storeClient, Cell: c.driver,
 		Holder: n.settings.Instance, Fence: c.claim.Epoch(),
-		Mine: func(rack string) bool { return n.division.hashCell(rack) == name },
-		Log:  n.kit.Log,
+		OwnsRack: func(rack string) bool { return n.division.hashCell(rack) == name },
+		Log:      n.kit.Log,
 	}
 	if err := r.Step(ctx); err != nil {
 		level.Info(n.kit.Log).Log("event", "upkeep_waits", "cell", name, "err", err)
--- a/config/account.go
+++ b/config/account.go
@@ -56,7 +56,7 @@
 	if key != "" {
 		account, ok = c.accountByKey[HashKey(key)]
 	}
-	return account, ok || q.Open || !c.Keyed
+	return account, ok || q.Open || !c.KeysRequired
 }
 
 // CellAccounts returns the accounts for each of a number of cells, with weights and limits
--- a/config/config.go
+++ b/config/config.go
@@ -36,8 +36,8 @@
 	Limits  Limits
 	// Accounts are the client accounts. Keyed says that all queues which are not open require a
 	// key of one of them.
-	Accounts []cell.Account
-	Keyed    bool
+	Accounts     []cell.Account
+	KeysRequired bool
 	// Raw is the document from which the configuration was decoded.
 	Raw []byte
 
@@ -48,9 +48,9 @@
 	compressed   []byte
 }
 
-// Packed returns the compressed document, for sending it to other instances. Documents with
+// Compressed returns the compressed document, for sending it to other instances. Documents with
 // thousands of similar queues become several times smaller.
-func (c *Config) Packed() []byte {
+func (c *Config) Compressed() []byte {
 	c.compressOnce.Do(func() { c.compressed = compress(c.Raw) })
 	return c.compressed
 }
@@ -88,16 +88,16 @@
 	return out
 }
 
-// Register holds the newest Config. The zero value is empty and ready to use.
-type Register struct {
+// Latest holds the newest Config. The zero value is empty and ready to use.
+type Latest struct {
 	current atomic.Pointer[Config]
 }
 
-// Now returns the newest Config, or nil if there is none yet.
-func (r *Register) Now() *Config { return r.current.Load() }
+// Load returns the newest Config, or nil if there is none yet.
+func (r *Latest) Load() *Config { return r.current.Load() }
 
 // Version returns the version of the newest Config, 0 if there is none yet.
-func (r *Register) Version() uint64 {
+func (r *Latest) Version() uint64 {
 	if c := r.current.Load(); c != nil {
 		return c.Version
 	}
@@ -105,7 +105,7 @@
 }
 
 // Install stores c if it is newer than the current Config, and reports whether it did.
-func (r *Register) Install(c *Config) bool {
+func (r *Latest) Install(c *Config) bool {
 	for {
 		old := r.current.Load()
 		if old != nil && old.Version >= c.Version {
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -17,26 +17,26 @@
 		fmt.Fprintf(&raw, `{"name":"r-%x","host":"jobs.example","path_prefix":"/%x/","backend":"pool","max_attempts":2},`, i*7919, i*104729)
 	}
 	c := &Config{Raw: raw.Bytes()}
-	packed := c.Packed()
+	packed := c.Compressed()
 	g.Expect(len(packed)).To(BeNumerically("<", raw.Len()/3))
-	back, err := Unpack(packed)
+	back, err := Decompress(packed)
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(back).To(Equal(raw.Bytes()))
 }
 
 func TestUnpackRejectsTruncatedAndOversizedDocuments(t *testing.T) {
 	g := NewWithT(t)
-	_, err := Unpack((&Config{Raw: []byte("{}")}).Packed()[:2])
+	_, err := Decompress((&Config{Raw: []byte("{}")}).Compressed()[:2])
 	g.Expect(err).To(HaveOccurred())
-	_, err = Unpack((&Config{Raw: []byte("{}")}).Packed()[:12])
+	_, err = Decompress((&Config{Raw: []byte("{}")}).Compressed()[:12])
 	g.Expect(err).To(HaveOccurred())
-	_, err = Unpack((&Config{Raw: make([]byte, maxUnpackedBytes+1)}).Packed())
+	_, err = Decompress((&Config{Raw: make([]byte, maxUnpackedBytes+1)}).Compressed())
 	g.Expect(err).To(HaveOccurred())
 }
 
 func TestUnpackAcceptsAnUncompressedDocument(t *testing.T) {
 	g := NewWithT(t)
-	raw, err := Unpack([]byte(`{"version":3}`))
+	raw, err := Decompress([]byte(`{"version":3}`))
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(string(raw)).To(Equal(`{"version":3}`))
 }
--- a/driver/carry.go
+++ b/driver/carry.go
@@ -117,7 +117,7 @@
 	}
 }
 
-func stepOf(t flow.TaskID) flow.StepID { return flow.StepID{Job: t.Job, Time: t.Time, Step: t.Step} }
+func stepOf(t flow.TaskID) flow.StepID { return flow.StepID{Job: t.Job, Round: t.Round, Step: t.Step} }
 
 // newStartOrder returns the order for a start, false if the worker is not attached. The lock is
 // held.
--- a/driver/driver_test.go
+++ b/driver/driver_test.go
@@ -92,7 +92,7 @@
 	return page, nil
 }
 
-func (t *memStore) Feed(ctx context.Context, _ rows.Since) (rows.Page, error) {
+func (t *memStore) Feed(ctx context.Context, _ rows.FeedQuery) (rows.Page, error) {
 	return rows.Page{}, kind.New(kind.Unavailable, "no feed")
 }
 
@@ -214,7 +214,7 @@
 		d := newDriver(ctx, newMemStore(), func() {})
 		now := time.Now()
 		row := func(id, cell string, age time.Duration) rows.Row {
-			e := flow.Ended{State: flow.Succeeded, Cell: cell, AtMS: now.Add(-age).UnixMilli()}
+			e := flow.FinalRecord{State: flow.Succeeded, Cell: cell, AtMS: now.Add(-age).UnixMilli()}
 			return rows.Row{Key: EndedKey(id), Value: flow.Encode(e)}
 		}
 		d.sweepPart([]rows.Row{row("a1", "c", 2*d.Retention), row("a2", "c", d.Retention/2), row("a3", "other", 2*d.Retention), row("a4", "c", d.Retention+maxClockSkew/2)}, now)
--- a/driver/early_test.go
+++ b/driver/early_test.go
@@ -20,7 +20,7 @@
 	page rows.Page
 }
 
-func (f fixedFeedStore) Feed(context.Context, rows.Since) (rows.Page, error) { return f.page, nil }
+func (f fixedFeedStore) Feed(context.Context, rows.FeedQuery) (rows.Page, error) { return f.page, nil }
 
 // Guards against an owner that tells a worker to forget the end of a run of a job that it does not
 // know yet, and then fails: nobody knows of the end then.
@@ -53,7 +53,7 @@
 		t := newMemStore()
 		page := rows.Page{Rows: make([]rows.Row, maxFeedRows)}
 		for i := range page.Rows {
-			page.Rows[i].Gone = true
+			page.Rows[i].Deleted = true
 		}
 		Consistently(forgotten(run(ctx, t, fixedFeedStore{t, page})), 3*scanInterval).Should(BeFalse())
 	})
@@ -65,7 +65,7 @@
 
 	ginkgo.It("is forgotten once all jobs have been read because the feed has no history", func(ctx context.Context) {
 		t := newMemStore()
-		store := fixedFeedStore{t, rows.Page{Forgotten: true}}
+		store := fixedFeedStore{t, rows.Page{HistoryTrimmed: true}}
 		Eventually(forgotten(run(ctx, t, store)), 5*scanInterval+time.Second).Should(BeTrue())
 	})
 })
--- a/driver/empty.go
+++ b/driver/empty.go
@@ -12,24 +12,24 @@
 
 var _ upkeep.Cell = (*Driver)(nil)
 
-// Empty implements upkeep.Cell.
-func (d *Driver) Empty(workers []string, patience time.Duration) {
+// Drain implements upkeep.Cell.
+func (d *Driver) Drain(workers []string, patience time.Duration) {
 	d.mu.Lock()
 	d.cell.Evacuate(workers, patience, clock.Now())
 	d.mu.Unlock()
 	notify(d.placeNow)
 }
 
-// Emptied implements upkeep.Cell.
-func (d *Driver) Emptied(worker string) bool {
+// Drained implements upkeep.Cell.
+func (d *Driver) Drained(worker string) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := clock.Now()
 	return d.loaded && !d.frozen && d.mayOrder(now) && d.cell.Evacuated(worker, now)
 }
 
-// Life implements upkeep.Cell.
-func (d *Driver) Life(worker string) (born int64, sure bool) {
+// Incarnation implements upkeep.Cell.
+func (d *Driver) Incarnation(worker string) (born int64, sure bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if l := d.links[worker]; l != nil {
@@ -38,8 +38,8 @@
 	return 0, false
 }
 
-// Over implements upkeep.Cell.
-func (d *Driver) Over(worker string, born int64) {
+// IncarnationEnded implements upkeep.Cell.
+func (d *Driver) IncarnationEnded(worker string, born int64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if l := d.links[worker]; l != nil && l.born == born {
--- a/driver/foreign_test.go
+++ b/driver/foreign_test.go
@@ -102,7 +102,7 @@
 			{Key: RecordKey("c", "2"), Value: []byte(`{"state":"odd"}`)},
 			{Key: RecordKey("c", "3"), Value: []byte(`{"state":"running","stages":[{}]}`)},
 		}
-		d.restore([]rows.Row{spec("0"), spec("1"), spec("2"), spec("3")}, records, []rows.Bad{{Key: RecordKey("c", "0"), Reason: "value"}})
+		d.restore([]rows.Row{spec("0"), spec("1"), spec("2"), spec("3")}, records, []rows.BadRow{{Key: RecordKey("c", "0"), Reason: "value"}})
 		for id, runs := range map[string]bool{"0": false, "1": false, "2": false, "3": true} {
 			Expect(d.cell.Known(id)).To(Equal(runs), id)
 		}
@@ -135,7 +135,7 @@
 		d.loaded = true
 		Expect(d.Adopt(&flow.Spec{ID: "a1", Cell: "c", Queue: "q", Steps: []flow.Step{{Count: 1}}}, 50)).To(Succeed())
 		gone := home("d1", "c", 60)
-		gone.Gone = true
+		gone.Deleted = true
 		before := t.reads["b"]
 		Expect(d.readMissed([]rows.Row{home("a1", "c", 50), home("b1", "c", 51), home("c1", "other", 52), gone, home("e1", "c", 53)})).To(Succeed())
 		Expect(d.cell.Known("b1")).To(BeTrue())
--- a/driver/life_test.go
+++ b/driver/life_test.go
@@ -273,12 +273,12 @@
 
 	ginkgo.It("is not ended by the upkeep that ended the previous life", func(ctx context.Context) {
 		d, _ := attachedDriver(ctx)
-		d.Over("w", bornBefore-1)
+		d.IncarnationEnded("w", bornBefore-1)
 		Expect(d.links).To(HaveKey("w"))
-		born, sure := d.Life("w")
+		born, sure := d.Incarnation("w")
 		Expect(born).To(Equal(int64(bornBefore)))
 		Expect(sure).To(BeTrue())
-		d.Over("w", bornBefore)
+		d.IncarnationEnded("w", bornBefore)
 		Expect(d.links).NotTo(HaveKey("w"))
 	})
 
--- a/driver/load.go
+++ b/driver/load.go
@@ -33,9 +33,9 @@
 	// begun is when the first row was read. Only scan sets it.
 	begun      time.Time
 	attempts   int
-	specs      [len(specParts)]rows.Reading
-	records    rows.Reading
-	workerList rows.Reading
+	specs      [len(specParts)]rows.RangeReader
+	records    rows.RangeReader
+	workerList rows.RangeReader
 }
 
 // jobs returns the specifications of all parts.
@@ -92,7 +92,7 @@
 		}
 		if err == nil {
 			d.scannedVer = r.minVer()
-			d.restore(r.jobs(), r.records.Rows, r.records.Bad)
+			d.restore(r.jobs(), r.records.Rows, r.records.BadRows)
 			d.ApplySuccesses(d.ReportedSuccesses())
 			d.restoreWorkerList(r.workerList.Rows)
 			return true
@@ -107,7 +107,7 @@
 	return false
 }
 
-func (d *Driver) restore(specs, records []rows.Row, bad []rows.Bad) {
+func (d *Driver) restore(specs, records []rows.Row, bad []rows.BadRow) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := clock.Now()
--- a/driver/retention_test.go
+++ b/driver/retention_test.go
@@ -73,7 +73,7 @@
 	}
 
 	ginkgo.It("can be queried for the full retention time: all tasks done", func(ctx context.Context) {
-		var done flow.Bits
+		var done flow.BitSet
 		done.Set(0)
 		expectKept(ctx, flow.Record{State: flow.Running, Stages: []flow.StageRecord{{Done: done}}})
 	})
@@ -99,7 +99,7 @@
 		spec := flow.Spec{ID: "1", Cell: "c", Queue: "q", Steps: []flow.Step{{Count: 1}}, AcceptedMS: time.Now().UnixMilli()}
 		d.addFound([]rows.Row{
 			{Key: SpecKey("1"), Value: flow.Encode(spec), Ver: d.scannedVer + 1},
-			{Key: SpecKey("1"), Gone: true, Ver: d.scannedVer + 2},
+			{Key: SpecKey("1"), Deleted: true, Ver: d.scannedVer + 2},
 		})
 		Expect(d.cell.Known("1")).To(BeFalse())
 	})
@@ -108,8 +108,8 @@
 // noHistoryStore is a memStore whose feed has no history.
 type noHistoryStore struct{ *memStore }
 
-func (f noHistoryStore) Feed(context.Context, rows.Since) (rows.Page, error) {
-	return rows.Page{Forgotten: true}, nil
+func (f noHistoryStore) Feed(context.Context, rows.FeedQuery) (rows.Page, error) {
+	return rows.Page{HistoryTrimmed: true}, nil
 }
 
 // Guards against reviving an ended job. A part of the store was down for longer than jobs are kept,
--- a/driver/scan.go
+++ b/driver/scan.go
@@ -81,14 +81,14 @@
 		}
 		begun := clock.Now()
 		// Home rows take a tenth of the size of the jobs, most of which this owner already knows.
-		page, err := d.Store.Feed(d.ctx, rows.Since{Table: TableHomes, Ver: ver})
-		if err == nil && !page.Forgotten {
+		page, err := d.Store.Feed(d.ctx, rows.FeedQuery{Table: TableHomes, Ver: ver})
+		if err == nil && !page.HistoryTrimmed {
 			err = d.readMissed(page.Rows)
 		}
 		switch {
 		case err != nil:
 			d.logScan(err)
-		case page.Forgotten:
+		case page.HistoryTrimmed:
 			ver = 0
 		default:
 			ver, readAt = max(ver, page.Ver), begun
@@ -110,10 +110,10 @@
 // readMissed reads the jobs of this cell that are in changed home rows but not known here.
 func (d *Driver) readMissed(homes []rows.Row) error {
 	for _, home := range homes {
-		if home.Gone || !slices.Contains(HomeCells(home.Value), d.Name) || !d.isMissed(home.Name, home.Ver) {
+		if home.Deleted || !slices.Contains(HomeCells(home.Value), d.Name) || !d.isMissed(home.Name, home.Ver) {
 			continue
 		}
-		page, err := d.Store.Get(d.ctx, rows.Only(SpecKey(home.Name)))
+		page, err := d.Store.Get(d.ctx, rows.KeyRange(SpecKey(home.Name)))
 		if err != nil {
 			return err
 		}
@@ -147,13 +147,13 @@
 	defer d.mu.Unlock()
 	gone := make(map[string]uint64)
 	for _, r := range all {
-		if r.Gone {
+		if r.Deleted {
 			gone[r.Name] = r.Ver
 		}
 	}
 	now := clock.Now()
 	for _, r := range all {
-		if r.Gone || gone[r.Name] > r.Ver || !d.isNew(r.Name, r.Ver) {
+		if r.Deleted || gone[r.Name] > r.Ver || !d.isNew(r.Name, r.Ver) {
 			continue
 		}
 		spec, err := flow.DecodeSpec(r.Value)
--- a/driver/seek_test.go
+++ b/driver/seek_test.go
@@ -50,7 +50,7 @@
 		d.Start()
 		ginkgo.DeferCleanup(d.Close)
 		Eventually(func() int { return d.Load().Attached }, "3s").Should(Equal(1))
-		step := flow.Step{Count: 1, Lasting: true}
+		step := flow.Step{Count: 1, LongRunning: true}
 		Expect(d.Adopt(&flow.Spec{ID: "1", Cell: "c", Queue: "q", Hall: "h", Steps: []flow.Step{step}}, 1<<30)).To(Succeed())
 		Eventually(func() bool { d.mu.Lock(); defer d.mu.Unlock(); return d.cell.Busy("w") }, "3s").Should(BeTrue())
 		w.cut.Store(true)
--- a/driver/share.go
+++ b/driver/share.go
@@ -43,8 +43,8 @@
 		foreign := d.cell.Foreign()
 		d.mu.Unlock()
 		for _, id := range foreign {
-			page, err := d.Store.Get(d.ctx, rows.Only(SpecKey(id)))
-			if err == nil && page.One().Ver == 0 {
+			page, err := d.Store.Get(d.ctx, rows.KeyRange(SpecKey(id)))
+			if err == nil && page.First().Ver == 0 {
 				d.endShare(id)
 			}
 		}
--- a/driver/share_test.go
+++ b/driver/share_test.go
@@ -14,7 +14,7 @@
 )
 
 var _ = ginkgo.Describe("a job that several cells share", func() {
-	spec := &flow.Spec{ID: "1", Cell: "home", Shares: []string{"c"}, Queue: "q", Steps: []flow.Step{{Count: 2, Lasting: true}}, AcceptedMS: time.Now().UnixMilli()}
+	spec := &flow.Spec{ID: "1", Cell: "home", Shares: []string{"c"}, Queue: "q", Steps: []flow.Step{{Count: 2, LongRunning: true}}, AcceptedMS: time.Now().UnixMilli()}
 	put := func(t *memStore) {
 		_, err := t.Tx(context.Background(), rows.Tx{Put: []rows.Row{
 			{Key: SpecKey("1"), Value: flow.Encode(spec)}, {Key: HomeKey("1"), Value: HomeValue(spec)},
--- a/driver/tidy.go
+++ b/driver/tidy.go
@@ -73,7 +73,7 @@
 			t.Remove = append(t.Remove, EndedKey(x.id), HomeKey(x.id))
 			continue
 		}
-		e := flow.Ended{State: x.state, Cell: d.Name, AtMS: wall.UnixMilli()}
+		e := flow.FinalRecord{State: x.state, Cell: d.Name, AtMS: wall.UnixMilli()}
 		t.Put = append(t.Put, rows.Row{Key: EndedKey(x.id), Value: flow.Encode(e)})
 		t.Remove = append(t.Remove, SpecKey(x.id))
 	}
@@ -160,7 +160,7 @@
 	for d.ctx.Err() == nil {
 		d.sleep(sweepInterval)
 		for _, part := range specParts {
-			all, _, err := rows.All(d.ctx, d.Store, rows.Range{Table: TableEnded, Part: string(part)})
+			all, _, err := rows.ReadAll(d.ctx, d.Store, rows.Range{Table: TableEnded, Part: string(part)})
 			if err == nil {
 				d.sweepPart(all, clock.Wall())
 			}
@@ -172,7 +172,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, r := range all {
-		e, err := flow.DecodeEnded(r.Value)
+		e, err := flow.DecodeFinalRecord(r.Value)
 		if err != nil || e.Cell != d.Name || d.cell.Known(r.Name) {
 			continue
 		}
--- a/entry/read.go
+++ b/entry/read.go
@@ -31,7 +31,7 @@
 // reader follows the version of the tree.
 type reader struct {
 	mu        sync.Mutex
-	guard     lease.Guard
+	guard     lease.PauseDetector
 	confirmed time.Time
 	// doubt is set after a pause, until the version is confirmed.
 	doubt bool
--- a/entry/sweep.go
+++ b/entry/sweep.go
@@ -37,10 +37,10 @@
 		if !e.ready() || e.cutOff() || !e.leads(sweepRole, now) {
 			continue
 		}
-		e.sweepOnce(ctx, clock.Wall(), "jobs", s.Jobs)
+		e.sweepOnce(ctx, clock.Wall(), "jobs", s.SweepJobs)
 		if now.Sub(instances) > sweepInstancesEvery {
 			instances = now
-			e.sweepOnce(ctx, clock.Wall(), "instances", s.Instances)
+			e.sweepOnce(ctx, clock.Wall(), "instances", s.SweepInstances)
 		}
 	}
 }
--- a/expiry/expiry.go
+++ b/expiry/expiry.go
@@ -37,10 +37,10 @@
 	Journal Journal
 }
 
-// Jobs removes the jobs and request keys that have expired at the time now, and returns how
+// SweepJobs removes the jobs and request keys that have expired at the time now, and returns how
 // many expiry rows were removed. It stops when none is left, or with the first error of the
 // platform; the next pass continues.
-func (s *Sweeper) Jobs(ctx context.Context, now time.Time) (int, error) {
+func (s *Sweeper) SweepJobs(ctx context.Context, now time.Time) (int, error) {
 	total := 0
 	for {
 		due, err := s.dueRows(ctx, now)
@@ -161,9 +161,9 @@
 	return k.ID == e.ID && (e.ID != "" || k.Refused)
 }
 
-// Instances removes the rows of instances that were not used for instanceRetention, and returns
+// SweepInstances removes the rows of instances that were not used for instanceRetention, and returns
 // how many were removed.
-func (s *Sweeper) Instances(ctx context.Context, now time.Time) (int, error) {
+func (s *Sweeper) SweepInstances(ctx context.Context, now time.Time) (int, error) {
 	members, err := s.unusedRows(ctx, hall.MemberPrefix(s.Hall), hall.MemberSeen, now)
 	if err != nil {
 		return 0, err
--- a/expiry/expiry_test.go
+++ b/expiry/expiry_test.go
@@ -93,7 +93,7 @@
 			l.Before = func(ports.Txn) error { time.Sleep(2 * time.Millisecond); return nil }
 		})
 		before := table.Commits()
-		n, err := s.Jobs(ctx, now)
+		n, err := s.SweepJobs(ctx, now)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(n).To(Equal(251))
 		Expect(table.Commits()-before).To(BeNumerically("<", 125), "removals share transactions")
@@ -105,7 +105,7 @@
 		add("runs", job.Unknown, now.Add(-time.Hour))
 		add("over", job.Done, now.Add(-time.Hour))
 		put(ports.Put{Key: job.KeyRow("s", "k-over"), Value: job.Encode(job.Key{ID: "another"})})
-		_, err := s.Jobs(ctx, now)
+		_, err := s.SweepJobs(ctx, now)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(keys()).To(ConsistOf(job.RowKey("runs"), job.KeyRow("s", "k-over")))
 	})
@@ -113,11 +113,11 @@
 	It("keeps the rows while their objects cannot be deleted", func(ctx context.Context) {
 		add("a", job.Done, now.Add(-time.Hour))
 		store.down = true
-		_, err := s.Jobs(ctx, now)
+		_, err := s.SweepJobs(ctx, now)
 		Expect(kind.Is(err, kind.Unavailable)).To(BeTrue())
 		Expect(keys()).To(HaveLen(3))
 		store.down = false
-		n, err := s.Jobs(ctx, now)
+		n, err := s.SweepJobs(ctx, now)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(n).To(Equal(1))
 		Expect(keys()).To(BeEmpty())
@@ -135,7 +135,7 @@
 				return nil
 			}
 		})
-		n, err := s.Jobs(ctx, now)
+		n, err := s.SweepJobs(ctx, now)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(n).To(BeZero())
 		Expect(keys()).To(HaveLen(3))
@@ -152,7 +152,7 @@
 			ports.Put{Key: commit.Prefix("h") + "gone/1", Value: nonce(long)},
 			ports.Put{Key: commit.Prefix("h") + "here/1", Value: nonce(short)},
 			ports.Put{Key: "member/other/gone", Value: seen(long)})
-		n, err := s.Instances(ctx, now)
+		n, err := s.SweepInstances(ctx, now)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(n).To(Equal(2))
 		Expect(keys()).To(ConsistOf("member/h/here", "member/other/gone"))
--- a/flow/crash.go
+++ b/flow/crash.go
@@ -7,8 +7,8 @@
 
 // The levels of Blame, lowest first.
 const (
-	// BlameBeside says that something else is a more likely cause.
-	BlameBeside Blame = "beside"
+	// BlameUnlikely says that something else is a more likely cause.
+	BlameUnlikely Blame = "beside"
 	// BlameShared says that several runs are equally likely causes.
 	BlameShared Blame = "shared"
 	// BlameSole says that no other run is a possible cause.
--- a/flow/flow.go
+++ b/flow/flow.go
@@ -12,10 +12,10 @@
 
 // The limits of a Spec.
 const (
-	MaxText  = 4000
-	MaxSteps = 100
-	MaxCount = 10_000
-	MaxTimes = 1_000
+	MaxText        = 4000
+	MaxSteps       = 100
+	MaxCount       = 10_000
+	MaxRepeatCount = 1_000
 	// MaxTasks bounds the number of tasks over all steps and repetitions.
 	MaxTasks = 100_000
 )
@@ -46,25 +46,25 @@
 	EndFailed End = "failed"
 	// EndStopped: the run was ordered to stop.
 	EndStopped End = "stopped"
-	// EndLapsed: the lease of the run expired without renewal.
-	EndLapsed End = "lapsed"
-	// EndBroken: another member of the gang ended.
-	EndBroken End = "broken"
-	// EndAlone: the other members of the gang did not start.
-	EndAlone End = "alone"
+	// EndLeaseExpired: the lease of the run expired without renewal.
+	EndLeaseExpired End = "lapsed"
+	// EndGangBroken: another member of the gang ended.
+	EndGangBroken End = "broken"
+	// EndGangIncomplete: the other members of the gang did not start.
+	EndGangIncomplete End = "alone"
 )
 
 // TaskID identifies a task of a job.
 type TaskID struct {
 	Job string
-	// Time is the number of the repetition, 0 for a job that is not repeated.
-	Time, Step, Index int
+	// Round is the number of the repetition, 0 for a job that is not repeated.
+	Round, Step, Index int
 }
 
 // StepID identifies a step of a job in one repetition.
 type StepID struct {
-	Job        string
-	Time, Step int
+	Job         string
+	Round, Step int
 }
 
 // Spec is a job as it was submitted. It is immutable.
@@ -83,8 +83,8 @@
 	Hall  string `json:"hall,omitempty"`
 	Text  string `json:"text,omitempty"`
 	Steps []Step `json:"steps"`
-	// Times is how often the steps are run; 0 means once and immediately.
-	Times int `json:"times,omitempty"`
+	// RepeatCount is how often the steps are run; 0 means once and immediately.
+	RepeatCount int `json:"times,omitempty"`
 	// StartMS is when the first repetition becomes due, in milliseconds since 1970, and EveryMS
 	// the interval between repetitions.
 	StartMS int64 `json:"start_ms,omitempty"`
@@ -100,20 +100,20 @@
 	Demand sched.Vec `json:"demand"`
 	// EstimateMS is the roughly estimated run time of a task, in milliseconds.
 	EstimateMS int64 `json:"estimate_ms,omitempty"`
-	// After lists the numbers of the steps that must be done before this one starts.
-	After []int `json:"after,omitempty"`
-	// Needs is a label that the worker must have, "" for any worker.
-	Needs string `json:"needs,omitempty"`
-	// Near names the preferred rack, which holds the data; "" for none.
-	Near string `json:"near,omitempty"`
-	// PerWorker bounds how many tasks of the step may run on one worker; 0 is no limit.
-	PerWorker int `json:"per_worker,omitempty"`
+	// DependsOn lists the numbers of the steps that must be done before this one starts.
+	DependsOn []int `json:"after,omitempty"`
+	// RequiredLabel is a label that the worker must have, "" for any worker.
+	RequiredLabel string `json:"needs,omitempty"`
+	// PreferredRack names the preferred rack, which holds the data; "" for none.
+	PreferredRack string `json:"near,omitempty"`
+	// MaxPerWorker bounds how many tasks of the step may run on one worker; 0 is no limit.
+	MaxPerWorker int `json:"per_worker,omitempty"`
 	// Image names the image that the tasks run.
 	Image string `json:"image,omitempty"`
 	// TargetMS is the upper limit of the tail latency of a serving task, in milliseconds.
 	TargetMS int64 `json:"target_ms,omitempty"`
-	// MayMiss is how many tasks of a long-running step may be unavailable at the same time.
-	MayMiss int `json:"may_miss,omitempty"`
+	// MaxUnavailable is how many tasks of a long-running step may be unavailable at the same time.
+	MaxUnavailable int `json:"may_miss,omitempty"`
 
 	// Checkpoints says that the tasks save checkpoints.
 	Checkpoints bool `json:"checkpoints,omitempty"`
@@ -121,19 +121,19 @@
 	Gang bool `json:"gang,omitempty"`
 	// SameRack says that a gang runs slower when it is spread over several racks.
 	SameRack bool `json:"same_rack,omitempty"`
-	// Copies says that a task may have several runs at the same time.
-	Copies bool `json:"copies,omitempty"`
-	// Lasting says that the tasks run until the job is cancelled.
-	Lasting bool `json:"lasting,omitempty"`
-	// Fills says that the tasks use only processor time that other tasks leave idle.
-	Fills bool `json:"fills,omitempty"`
+	// Speculative says that a task may have several runs at the same time.
+	Speculative bool `json:"copies,omitempty"`
+	// LongRunning says that the tasks run until the job is cancelled.
+	LongRunning bool `json:"lasting,omitempty"`
+	// IdleCPUOnly says that the tasks use only processor time that other tasks leave idle.
+	IdleCPUOnly bool `json:"fills,omitempty"`
 }
 
-// Room returns the resources that a task of s reserves on its worker. A task with Fills
+// Reservation returns the resources that a task of s reserves on its worker. A task with Fills
 // reserves no processor time.
-func (s *Step) Room() sched.Vec {
+func (s *Step) Reservation() sched.Vec {
 	v := s.Demand
-	if s.Fills {
+	if s.IdleCPUOnly {
 		v[sched.MilliCPU] = 0
 	}
 	return v
@@ -150,34 +150,34 @@
 // Share is the subset of the tasks of a job that one cell runs. The zero value contains all
 // tasks.
 type Share struct {
-	// The subset contains the tasks of each step whose index modulo Of is At.
-	At, Of int
+	// The subset contains the tasks of each step whose index modulo Count is Index.
+	Index, Count int
 }
 
 // Share returns the share of a cell, and whether the cell runs any tasks of s.
 func (s *Spec) Share(cell string) (Share, bool) {
 	at := slices.Index(s.Cells(), cell)
-	return Share{At: at, Of: 1 + len(s.Shares)}, at >= 0
+	return Share{Index: at, Count: 1 + len(s.Shares)}, at >= 0
 }
 
-// Has reports whether the share contains the task with the given index.
-func (s Share) Has(index int) bool { return s.Of <= 1 || index%s.Of == s.At }
+// Contains reports whether the share contains the task with the given index.
+func (s Share) Contains(index int) bool { return s.Count <= 1 || index%s.Count == s.Index }
 
-// Foreign reports whether another cell owns the job and decides its state.
-func (s Share) Foreign() bool { return s.Of > 1 && s.At > 0 }
+// OwnedElsewhere reports whether another cell owns the job and decides its state.
+func (s Share) OwnedElsewhere() bool { return s.Count > 1 && s.Index > 0 }
 
-// MayShare reports whether the tasks of s may be split among several cells. This is the case if
+// Shareable reports whether the tasks of s may be split among several cells. This is the case if
 // the tasks are independent and none of them can end the job.
-func (s *Spec) MayShare() bool {
-	return s.Times == 0 && !slices.ContainsFunc(s.Steps, func(st Step) bool {
-		return !st.Lasting || st.Gang || len(st.After) > 0
+func (s *Spec) Shareable() bool {
+	return s.RepeatCount == 0 && !slices.ContainsFunc(s.Steps, func(st Step) bool {
+		return !st.LongRunning || st.Gang || len(st.DependsOn) > 0
 	})
 }
 
-// Lasting reports whether s has a long-running step.
-func (s *Spec) Lasting() bool {
+// HasLongRunning reports whether s has a long-running step.
+func (s *Spec) HasLongRunning() bool {
 	for i := range s.Steps {
-		if s.Steps[i].Lasting {
+		if s.Steps[i].LongRunning {
 			return true
 		}
 	}
@@ -185,34 +185,34 @@
 }
 
 // Rounds returns how many times the steps are run, at least 1.
-func (s *Spec) Rounds() int { return max(s.Times, 1) }
+func (s *Spec) Rounds() int { return max(s.RepeatCount, 1) }
 
 // Due returns when repetition k of s becomes due; the zero time means immediately.
 func (s *Spec) Due(k int) time.Time {
-	if s.Times == 0 {
+	if s.RepeatCount == 0 {
 		return time.Time{}
 	}
 	return time.UnixMilli(s.StartMS + int64(k)*s.EveryMS)
 }
 
-// Work returns the estimated processor time of one repetition, without long-running steps.
-func (s *Spec) Work() time.Duration {
+// EstimatedWork returns the estimated processor time of one repetition, without long-running steps.
+func (s *Spec) EstimatedWork() time.Duration {
 	var sum time.Duration
 	for i := range s.Steps {
 		st := &s.Steps[i]
-		if !st.Lasting {
+		if !st.LongRunning {
 			sum += st.Estimate() * time.Duration(st.Count) * time.Duration(st.Demand[sched.MilliCPU]) / 1000
 		}
 	}
 	return sum
 }
 
-// Chain returns the estimated length of the critical path that begins with step from.
-func (s *Spec) Chain(from int) time.Duration {
+// CriticalPath returns the estimated length of the critical path that begins with step from.
+func (s *Spec) CriticalPath(from int) time.Duration {
 	longest := make([]time.Duration, len(s.Steps))
 	for i := len(s.Steps) - 1; i >= from; i-- {
 		longest[i] += s.Steps[i].Estimate()
-		for _, before := range s.Steps[i].After {
+		for _, before := range s.Steps[i].DependsOn {
 			longest[before] = max(longest[before], longest[i])
 		}
 	}
@@ -226,7 +226,7 @@
 		return kind.At(kind.BadRequest, "/spec", "is too long")
 	case len(s.Steps) == 0 || len(s.Steps) > MaxSteps:
 		return kind.At(kind.BadRequest, "/steps", "must hold 1 to 100 steps")
-	case s.Times < 0 || s.Times > MaxTimes:
+	case s.RepeatCount < 0 || s.RepeatCount > MaxRepeatCount:
 		return kind.At(kind.BadRequest, "/times", "must be 0 to 1000")
 	}
 	cells := slices.Sorted(slices.Values(s.Cells()))
@@ -255,7 +255,7 @@
 			return kind.At(kind.BadRequest, "/steps/demand", "must not be negative")
 		}
 	}
-	for _, before := range s.After {
+	for _, before := range s.DependsOn {
 		if before < 0 || before >= number {
 			return kind.At(kind.BadRequest, "/steps/after", "must name earlier steps")
 		}
--- a/flow/record.go
+++ b/flow/record.go
@@ -12,8 +12,8 @@
 // Record is the durable state of a job beside its Spec.
 type Record struct {
 	State State `json:"state"`
-	// Cancelled says that the job was cancelled; no more of its tasks are started.
-	Cancelled bool `json:"cancelled,omitempty"`
+	// Canceled says that the job was cancelled; no more of its tasks are started.
+	Canceled bool `json:"cancelled,omitempty"`
 	// Stages holds one entry for each step of each repetition, ordered by repetition.
 	Stages []StageRecord `json:"stages,omitempty"`
 }
@@ -24,19 +24,19 @@
 	// started.
 	Halls []string `json:"halls,omitempty"`
 	// Done holds the indexes of the tasks that are done.
-	Done Bits `json:"done,omitempty"`
-	// Fails holds the numbers of the failed runs, by the index of the task. The numbers make
+	Done BitSet `json:"done,omitempty"`
+	// FailedRuns holds the numbers of the failed runs, by the index of the task. The numbers make
 	// counting idempotent: a worker may report the same end again to the next owner.
-	Fails map[int][]int `json:"fails,omitempty"`
+	FailedRuns map[int][]int `json:"fails,omitempty"`
 	// Crashes holds the runs that were lost with their workers and may have caused the loss, by
 	// the index of the task.
 	Crashes map[int][]Crash `json:"crashes,omitempty"`
-	// Saved holds the newest checkpoint of each waiting task, by its index.
-	Saved map[int]string `json:"saved,omitempty"`
+	// Checkpoints holds the newest checkpoint of each waiting task, by its index.
+	Checkpoints map[int]string `json:"saved,omitempty"`
 }
 
-// Ended is the record of a job that has ended, kept until the job is forgotten.
-type Ended struct {
+// FinalRecord is the record of a job that has ended, kept until the job is forgotten.
+type FinalRecord struct {
 	State State `json:"state"`
 	// Cell names the cell that owned the job.
 	Cell string `json:"cell"`
@@ -44,9 +44,9 @@
 	AtMS int64 `json:"at_ms"`
 }
 
-// DecodeEnded decodes and validates the row of an Ended.
-func DecodeEnded(raw []byte) (*Ended, error) {
-	e := new(Ended)
+// DecodeFinalRecord decodes and validates the row of an Ended.
+func DecodeFinalRecord(raw []byte) (*FinalRecord, error) {
+	e := new(FinalRecord)
 	if err := json.Unmarshal(raw, e); err != nil {
 		return e, err
 	}
@@ -56,11 +56,11 @@
 	return e, nil
 }
 
-// Bits is a set of small non-negative integers, stored as a bit map. The zero value is empty.
-type Bits []byte
+// BitSet is a set of small non-negative integers, stored as a bit map. The zero value is empty.
+type BitSet []byte
 
 // Set adds i to b.
-func (b *Bits) Set(i int) {
+func (b *BitSet) Set(i int) {
 	for len(*b) <= i/8 {
 		*b = append(*b, 0)
 	}
@@ -68,7 +68,7 @@
 }
 
 // Has reports whether i is in b.
-func (b Bits) Has(i int) bool { return i/8 < len(b) && b[i/8]&(1<<(i%8)) != 0 }
+func (b BitSet) Has(i int) bool { return i/8 < len(b) && b[i/8]&(1<<(i%8)) != 0 }
 
 // Encode returns the stored representation of v.
 func Encode(v any) []byte {
--- a/flow/share_test.go
+++ b/flow/share_test.go
@@ -13,9 +13,9 @@
 	s := &Spec{Cell: "a"}
 	share, ok := s.Share("a")
 	g.Expect(ok).To(BeTrue())
-	g.Expect(share.Foreign()).To(BeFalse())
+	g.Expect(share.OwnedElsewhere()).To(BeFalse())
 	for i := range 5 {
-		g.Expect(share.Has(i)).To(BeTrue())
+		g.Expect(share.Contains(i)).To(BeTrue())
 	}
 	_, ok = s.Share("b")
 	g.Expect(ok).To(BeFalse())
@@ -27,7 +27,7 @@
 	for i := range 10 {
 		n := 0
 		for _, cell := range []string{"a", "b", "c", "d"} {
-			if share, ok := s.Share(cell); ok && share.Has(i) {
+			if share, ok := s.Share(cell); ok && share.Contains(i) {
 				n++
 			}
 		}
@@ -35,28 +35,28 @@
 	}
 	home, _ := s.Share("b")
 	other, _ := s.Share("a")
-	g.Expect(home.Foreign()).To(BeFalse())
-	g.Expect(other.Foreign()).To(BeTrue())
+	g.Expect(home.OwnedElsewhere()).To(BeFalse())
+	g.Expect(other.OwnedElsewhere()).To(BeTrue())
 }
 
 func TestOnlyIndependentLongRunningTasksMayBeShared(t *testing.T) {
 	g := NewWithT(t)
-	lasting := Step{Count: 2, Lasting: true}
-	g.Expect((&Spec{Steps: []Step{lasting, lasting}}).MayShare()).To(BeTrue())
+	lasting := Step{Count: 2, LongRunning: true}
+	g.Expect((&Spec{Steps: []Step{lasting, lasting}}).Shareable()).To(BeTrue())
 	for _, spec := range []Spec{
 		{Steps: []Step{{Count: 1}, lasting}},
-		{Steps: []Step{lasting, {Count: 2, Lasting: true, After: []int{0}}}},
-		{Steps: []Step{{Count: 2, Lasting: true, Gang: true}}},
-		{Steps: []Step{lasting}, Times: 2},
+		{Steps: []Step{lasting, {Count: 2, LongRunning: true, DependsOn: []int{0}}}},
+		{Steps: []Step{{Count: 2, LongRunning: true, Gang: true}}},
+		{Steps: []Step{lasting}, RepeatCount: 2},
 	} {
-		g.Expect(spec.MayShare()).To(BeFalse())
+		g.Expect(spec.Shareable()).To(BeFalse())
 	}
 }
 
 func TestSharesMustNameEachCellOnce(t *testing.T) {
 	g := NewWithT(t)
 	for _, shares := range [][]string{{"home"}, {"a", "a"}} {
-		s := &Spec{Cell: "home", Shares: shares, Steps: []Step{{Count: 1, Lasting: true}}}
+		s := &Spec{Cell: "home", Shares: shares, Steps: []Step{{Count: 1, LongRunning: true}}}
 		_, err := DecodeSpec(Encode(s))
 		g.Expect(err).To(HaveOccurred())
 	}
--- a/hall/keeper.go
+++ b/hall/keeper.go
@@ -93,7 +93,7 @@
 	audited   time.Time
 	moved     time.Time
 	stopping  bool
-	guard     lease.Guard
+	guard     lease.PauseDetector
 	nudge     chan struct{}
 }
 
--- a/lease/lease.go
+++ b/lease/lease.go
@@ -58,16 +58,16 @@
 // Until returns the end of the lease from its holder's view.
 func (l Lease) Until() time.Time { return l.until }
 
-// SurelyOver returns when a lease that is held on another machine has certainly expired.
+// CertainExpiry returns when a lease that is held on another machine has certainly expired.
 // lastSent is when the last renewal that may have been received was sent. The holder accepts a
 // renewal only while the previous lease is valid, and at most one renewal is outstanding at a
 // time, so that a renewal may start up to one length after lastSent and last for another.
-func SurelyOver(lastSent time.Time, length time.Duration) time.Time {
+func CertainExpiry(lastSent time.Time, length time.Duration) time.Time {
 	return lastSent.Add(2*length + Margin(2*length))
 }
 
-// Guard detects pauses of its own process. Limit must be set before use.
-type Guard struct {
+// PauseDetector detects pauses of its own process. Limit must be set before use.
+type PauseDetector struct {
 	// Limit is the longest gap between two ticks that does not count as a pause.
 	Limit time.Duration
 	last  time.Time
@@ -75,13 +75,13 @@
 
 // Tick records that the process runs at the time now, and reports whether it was paused since
 // the previous tick.
-func (g *Guard) Tick(now time.Time) bool {
+func (g *PauseDetector) Tick(now time.Time) bool {
 	paused := !g.last.IsZero() && now.Sub(g.last) > g.Limit
 	g.last = now
 	return paused
 }
 
 // Paused reports whether the process was paused since the last tick, without recording a tick.
-func (g *Guard) Paused(now time.Time) bool {
+func (g *PauseDetector) Paused(now time.Time) bool {
 	return !g.last.IsZero() && now.Sub(g.last) > g.Limit
 }
--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -29,7 +29,7 @@
 			travel := time.Duration(rapid.Int64Range(0, int64(length)).Draw(t, "travel"))
 			slow := rapid.Float64Range(1, 1.06).Draw(t, "slow")
 			ends := start.Add(time.Duration(float64(travel+length) * slow))
-			if over := lease.SurelyOver(start, length); over.Before(ends) {
+			if over := lease.CertainExpiry(start, length); over.Before(ends) {
 				t.Fatalf("reported as expired %s too early", ends.Sub(over))
 			}
 			if held := lease.Renew(start, length); held.Held(start.Add(length)) {
@@ -47,7 +47,7 @@
 	})
 
 	It("notice a pause once", func() {
-		g := lease.Guard{Limit: time.Second}
+		g := lease.PauseDetector{Limit: time.Second}
 		Expect(g.Tick(start)).To(BeFalse())
 		Expect(g.Paused(start.Add(3 * time.Second))).To(BeTrue())
 		Expect(g.Tick(start.Add(3 * time.Second))).To(BeTrue())
--- a/owner/owner.go
+++ b/owner/owner.go
@@ -67,7 +67,7 @@
 
 	mu         sync.Mutex
 	cell       sched.Cell
-	pauseGuard lease.Guard
+	pauseGuard lease.PauseDetector
 	racks      map[string]*rack
 	workers    map[sched.WorkerID]*worker
 	tasksByRef map[uint64]*task
@@ -151,7 +151,7 @@
 		Config:      c,
 		instanceCtx: ctx,
 		start:       clock.Now(),
-		pauseGuard:  lease.Guard{Limit: pauseLimit},
+		pauseGuard:  lease.PauseDetector{Limit: pauseLimit},
 		racks:       make(map[string]*rack),
 		workers:     make(map[sched.WorkerID]*worker),
 		tasksByRef:  make(map[uint64]*task),
--- a/owner/save.go
+++ b/owner/save.go
@@ -150,7 +150,7 @@
 func createError(err error, js *jobState) error {
 	switch kind.Of(err).Kind {
 	case kind.Unavailable:
-		return kind.Wrap(kind.CutOff, err, "").After(retry.Least)
+		return kind.Wrap(kind.CutOff, err, "").After(retry.MinDelay)
 	case kind.Lost:
 		return kind.Of(err).Uncertain(js.row.ID)
 	}
@@ -172,7 +172,7 @@
 	withoutTable := r.rowVersion == 0
 	o.mu.Unlock()
 	if withoutTable {
-		return kind.New(kind.CutOff, "the rack was taken without the table").After(retry.Least)
+		return kind.New(kind.CutOff, "the rack was taken without the table").After(retry.MinDelay)
 	}
 	ctx, cancel := context.WithTimeout(ctx, intentTimeout)
 	defer cancel()
--- a/owner/sweep.go
+++ b/owner/sweep.go
@@ -48,7 +48,7 @@
 	if w.attached && (w.leaving || w.reportedLeaving) {
 		o.evacuate(w)
 	}
-	if w.attached || w.leasesExpired || now.Before(lease.SurelyOver(w.renewedAt, o.TaskLease)) {
+	if w.attached || w.leasesExpired || now.Before(lease.CertainExpiry(w.renewedAt, o.TaskLease)) {
 		return
 	}
 	w.leasesExpired = true
--- a/owner/witness.go
+++ b/owner/witness.go
@@ -48,5 +48,5 @@
 	}
 	// An earlier owner regards a worker as attached until its watch fails or times out.
 	noticed := r.majoritySince.Add(o.watchHold() + commandTimeout + pauseLimit)
-	return now.After(lease.SurelyOver(noticed, o.TaskLease))
+	return now.After(lease.CertainExpiry(noticed, o.TaskLease))
 }
--- a/retry/retry.go
+++ b/retry/retry.go
@@ -26,28 +26,28 @@
 )
 
 const (
-	// Least is the shortest delay. Most outages are over within a second: another instance
+	// MinDelay is the shortest delay. Most outages are over within a second: another instance
 	// takes over in 0.8 s.
-	Least = time.Second
-	// Most is the longest delay: a person who has to wait longer tries again in any case.
-	Most = 15 * time.Second
-	// Patience is the longest time that a caller waits for an outage to end before it is
+	MinDelay = time.Second
+	// MaxDelay is the longest delay: a person who has to wait longer tries again in any case.
+	MaxDelay = 15 * time.Second
+	// MaxWait is the longest time that a caller waits for an outage to end before it is
 	// refused: a quarter of a second is below what people notice, and what the most urgent
 	// queues allow for the start of a job.
-	Patience = 250 * time.Millisecond
-	// WaitingMost is how many callers may wait at once: as many as arrive at an instance in a
+	MaxWait = 250 * time.Millisecond
+	// MaxWaiting is how many callers may wait at once: as many as arrive at an instance in a
 	// quarter of a second during a peak of 1,000 per second.
-	WaitingMost = 250
+	MaxWaiting = 250
 	// jitterSteps is the number of different jitter values.
 	jitterSteps = 1 << 16
 )
 
-// After returns how long a caller should wait before trying again, for an outage of the given
+// Delay returns how long a caller should wait before trying again, for an outage of the given
 // age. key identifies the caller; the same age and key give the same delay.
-func After(age time.Duration, key string) time.Duration {
+func Delay(age time.Duration, key string) time.Duration {
 	half := age / 2
 	spread := half * time.Duration(jitterOf(key)) / jitterSteps
-	return min(max(half+spread, Least), Most)
+	return min(max(half+spread, MinDelay), MaxDelay)
 }
 
 // maxWaitDivisor is the divisor of the remaining time that gives the longest wait. The rest is
@@ -57,10 +57,10 @@
 // Wait returns how long a caller with the given remaining time may wait for an outage to end
 // while a number of others are waiting.
 func Wait(left time.Duration, others int) time.Duration {
-	if others >= WaitingMost {
+	if others >= MaxWaiting {
 		return 0
 	}
-	return max(min(Patience, left/maxWaitDivisor), 0)
+	return max(min(MaxWait, left/maxWaitDivisor), 0)
 }
 
 // jitterOf returns a pseudo-random number below jitterSteps that depends only on key.
--- a/retry/retry_test.go
+++ b/retry/retry_test.go
@@ -29,12 +29,12 @@
 	late, arrived := 0, 0
 	for i := range int(length.Seconds() * float64(rate)) {
 		begun := time.Duration(i) * time.Second / time.Duration(rate)
-		if begun < length-Patience {
+		if begun < length-MaxWait {
 			continue
 		}
 		at := begun
 		for at+wait < length {
-			at += wait + After(at+wait, fmt.Sprintf("%016x", i*2654435761))
+			at += wait + Delay(at+wait, fmt.Sprintf("%016x", i*2654435761))
 		}
 		arrived++
 		if max(at, length)-length >= time.Second/2 {
@@ -71,17 +71,17 @@
 
 func TestShortOutageUsesTheMinimumDelay(t *testing.T) {
 	g := NewWithT(t)
-	got, fixed := simulateOutage(time.Second, 100, After), simulateOutage(time.Second, 100, fixedDelay)
+	got, fixed := simulateOutage(time.Second, 100, Delay), simulateOutage(time.Second, 100, fixedDelay)
 	g.Expect(got).To(Equal(fixed))
 }
 
 func TestLongOutageHasFewRetriesThatAreSpread(t *testing.T) {
 	g := NewWithT(t)
 	for _, length := range []time.Duration{10 * time.Second, 30 * time.Second, 2 * time.Minute} {
-		got, fixed := simulateOutage(length, 100, After), simulateOutage(length, 100, fixedDelay)
+		got, fixed := simulateOutage(length, 100, Delay), simulateOutage(length, 100, fixedDelay)
 		t.Logf("%v: %+v, each after a second %+v", length, got, fixed)
 		g.Expect(got.tries).To(BeNumerically("<", fixed.tries*0.65))
-		g.Expect(got.longestReturn).To(BeNumerically("<=", min(length, Most)))
+		g.Expect(got.longestReturn).To(BeNumerically("<=", min(length, MaxDelay)))
 		g.Expect(got.peakReturns).To(BeNumerically("<", fixed.peakReturns))
 	}
 }
@@ -98,8 +98,8 @@
 
 func TestNumberOfWaitingCallersIsLimited(t *testing.T) {
 	g := NewWithT(t)
-	g.Expect(Wait(time.Minute, WaitingMost-1)).To(Equal(Patience))
-	g.Expect(Wait(time.Minute, WaitingMost)).To(BeZero())
+	g.Expect(Wait(time.Minute, MaxWaiting-1)).To(Equal(MaxWait))
+	g.Expect(Wait(time.Minute, MaxWaiting)).To(BeZero())
 }
 
 func TestWaitLeavesTimeBeforeTheDeadline(t *testing.T) {
@@ -115,8 +115,8 @@
 	var delays []time.Duration
 	for i := range 100 {
 		key := fmt.Sprint(i)
-		g.Expect(After(10*time.Second, key)).To(Equal(After(10*time.Second, key)))
-		delays = append(delays, After(10*time.Second, key))
+		g.Expect(Delay(10*time.Second, key)).To(Equal(Delay(10*time.Second, key)))
+		delays = append(delays, Delay(10*time.Second, key))
 	}
 	g.Expect(slices.Max(delays)-slices.Min(delays)).To(BeNumerically(">", 4*time.Second), "spread")
 	g.Expect(slices.Min(delays)).To(BeNumerically(">=", 5*time.Second))
--- a/rows/attempt.go
+++ b/rows/attempt.go
@@ -10,17 +10,17 @@
 	"dewpass.org/kind"
 )
 
-// Attempt sends a write once whose response may be late or lost. Until the response arrives, it
+// WriteAttempt sends a write once whose response may be late or lost. Until the response arrives, it
 // checks periodically whether the write has taken effect.
-type Attempt struct {
+type WriteAttempt struct {
 	Store Store
 	Tx    Tx
-	// Look is called at intervals of Every. It returns true once the store shows whether the
+	// Lookup is called at intervals of Every. It returns true once the store shows whether the
 	// write took effect.
-	Look  func(ctx context.Context) (Result, bool, error)
-	Every time.Duration
-	// Limit is how long to wait for the write to take effect.
-	Limit time.Duration
+	Lookup   func(ctx context.Context) (Result, bool, error)
+	Interval time.Duration
+	// Timeout is how long to wait for the write to take effect.
+	Timeout time.Duration
 }
 
 // txAnswer is the store's response to a write.
@@ -32,7 +32,7 @@
 // Send sends the write. The bool reports whether the result and the error are the store's
 // response. Otherwise they were returned by Look, or the error is of kind Lost: the write may
 // still take effect later, or never.
-func (a Attempt) Send(ctx context.Context) (Result, bool, error) {
+func (a WriteAttempt) Send(ctx context.Context) (Result, bool, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	answered := make(chan txAnswer, 1)
@@ -41,17 +41,17 @@
 		answered <- txAnswer{res, err}
 	}()
 	begun := clock.Now()
-	tick := time.NewTicker(a.Every)
+	tick := time.NewTicker(a.Interval)
 	defer tick.Stop()
 	for {
 		select {
 		case a := <-answered:
 			return a.res, true, a.err
 		case <-tick.C:
-			if res, known, err := a.Look(ctx); known {
+			if res, known, err := a.Lookup(ctx); known {
 				return res, false, err
 			}
-			if clock.Since(begun) > a.Limit {
+			if clock.Since(begun) > a.Timeout {
 				return Result{}, false, kind.New(kind.Lost, "the write has neither a response nor an effect yet")
 			}
 		}
--- a/rows/attempt_test.go
+++ b/rows/attempt_test.go
@@ -33,7 +33,7 @@
 	unknown := func(context.Context) (rows.Result, bool, error) { return rows.Result{}, false, nil }
 
 	It("returns the store's response", func(ctx context.Context) {
-		a := rows.Attempt{Store: slowStore{after: 3 * every}, Look: unknown, Every: every, Limit: time.Minute}
+		a := rows.WriteAttempt{Store: slowStore{after: 3 * every}, Lookup: unknown, Interval: every, Timeout: time.Minute}
 		res, answered, err := a.Send(ctx)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(answered).To(BeTrue())
@@ -46,7 +46,7 @@
 			looks++
 			return rows.Result{Ver: 9}, looks == 3, nil
 		}
-		a := rows.Attempt{Store: slowStore{}, Look: look, Every: every, Limit: time.Minute}
+		a := rows.WriteAttempt{Store: slowStore{}, Lookup: look, Interval: every, Timeout: time.Minute}
 		res, answered, err := a.Send(ctx)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(answered).To(BeFalse())
@@ -55,7 +55,7 @@
 	})
 
 	It("returns an error of kind Lost if the write does not appear in time", func(ctx context.Context) {
-		a := rows.Attempt{Store: slowStore{}, Look: unknown, Every: every, Limit: 3 * every}
+		a := rows.WriteAttempt{Store: slowStore{}, Lookup: unknown, Interval: every, Timeout: 3 * every}
 		_, answered, err := a.Send(ctx)
 		Expect(answered).To(BeFalse())
 		Expect(kind.Is(err, kind.Lost)).To(BeTrue())
--- a/rows/client.go
+++ b/rows/client.go
@@ -40,9 +40,9 @@
 
 // RelayedCall is a call to the store that is sent through a peer. Exactly one field is set.
 type RelayedCall struct {
-	Tx   *Tx    `json:"tx,omitempty"`
-	Get  *Range `json:"get,omitempty"`
-	Feed *Since `json:"feed,omitempty"`
+	Tx   *Tx        `json:"tx,omitempty"`
+	Get  *Range     `json:"get,omitempty"`
+	Feed *FeedQuery `json:"feed,omitempty"`
 }
 
 // RelayedAnswer is the response to a RelayedCall.
@@ -55,12 +55,12 @@
 // answer this instance. The exported fields must be set before use.
 type Client struct {
 	Direct Store
-	// Carry sends an encoded call to a peer that reaches the store; nil disables relaying. The
+	// Relay sends an encoded call to a peer that reaches the store; nil disables relaying. The
 	// error is of kind Unavailable if there is no such peer.
-	Carry func(ctx context.Context, call []byte) ([]byte, error)
+	Relay func(ctx context.Context, call []byte) ([]byte, error)
 	Now   func() time.Time
-	// Changed is called when the store becomes reachable or unreachable, directly or at all.
-	Changed func(direct, reachable bool)
+	// OnChange is called when the store becomes reachable or unreachable, directly or at all.
+	OnChange func(direct, reachable bool)
 
 	mu sync.Mutex
 	// directDown says that the store did not answer this instance, so that calls go through a
@@ -74,11 +74,11 @@
 	lastReported            [2]bool
 }
 
-// DirectOK reports whether the store currently answers this instance directly.
-func (c *Client) DirectOK() bool { return c.Answered(reachableWindow) }
+// DirectlyReachable reports whether the store currently answers this instance directly.
+func (c *Client) DirectlyReachable() bool { return c.AnsweredDirectly(reachableWindow) }
 
-// Answered reports whether the store has answered this instance directly within the given time.
-func (c *Client) Answered(within time.Duration) bool {
+// AnsweredDirectly reports whether the store has answered this instance directly within the given time.
+func (c *Client) AnsweredDirectly(within time.Duration) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.Now().Sub(c.lastDirect) < within
@@ -107,9 +107,9 @@
 	return c.Now().Sub(last)
 }
 
-// KnownAway reports whether calls have shown that the store cannot be reached, neither directly
+// KnownUnreachable reports whether calls have shown that the store cannot be reached, neither directly
 // nor through a peer.
-func (c *Client) KnownAway() bool { return c.isDirectDown() && !c.Reachable() }
+func (c *Client) KnownUnreachable() bool { return c.isDirectDown() && !c.Reachable() }
 
 // Tx implements Store.
 func (c *Client) Tx(ctx context.Context, t Tx) (Result, error) {
@@ -132,7 +132,7 @@
 }
 
 // Feed implements Store.
-func (c *Client) Feed(ctx context.Context, s Since) (Page, error) {
+func (c *Client) Feed(ctx context.Context, s FeedQuery) (Page, error) {
 	var out Page
 	err := c.do(ctx, directTimeout+s.Wait, func(ctx context.Context) (func(), error) {
 		got, err := c.Direct.Feed(ctx, s)
@@ -167,7 +167,7 @@
 	return page, err
 }
 
-func (n directOnly) Feed(ctx context.Context, s Since) (page Page, err error) {
+func (n directOnly) Feed(ctx context.Context, s FeedQuery) (page Page, err error) {
 	err = n.client.callDirect(ctx, directTimeout+s.Wait, n.progress, func(ctx context.Context) error {
 		page, err = n.client.Direct.Feed(ctx, s)
 		return err
@@ -259,9 +259,9 @@
 	return max(minHedgeDelay, hedgeLatencyFactor*c.latency)
 }
 
-// Patience returns how long to wait for a write to appear before sending it again: its response
+// ResendDelay returns how long to wait for a write to appear before sending it again: its response
 // may have been lost, and it may take effect seconds later or never.
-func (c *Client) Patience() time.Duration {
+func (c *Client) ResendDelay() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return min(max(minResendDelay, hedgeLatencyFactor*c.latency), directTimeout)
@@ -283,10 +283,10 @@
 	return page, err
 }
 
-// ProbePeer calls the store through a peer. While the store does not answer this instance
+// ProbeViaPeer calls the store through a peer. While the store does not answer this instance
 // directly, only this shows that calls still succeed: there may be long pauses between client
 // requests.
-func (c *Client) ProbePeer(ctx context.Context, r Range) (Page, error) {
+func (c *Client) ProbeViaPeer(ctx context.Context, r Range) (Page, error) {
 	a, err := c.callViaPeer(ctx, RelayedCall{Get: &r})
 	if err != nil {
 		return Page{}, err
@@ -294,8 +294,8 @@
 	return *a.Page, nil
 }
 
-// Carried reports whether a peer has relayed a response of the store within the given time.
-func (c *Client) Carried(within time.Duration) bool {
+// RelayedWithin reports whether a peer has relayed a response of the store within the given time.
+func (c *Client) RelayedWithin(within time.Duration) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.Now().Sub(c.lastRelayed) < within
@@ -360,7 +360,7 @@
 }
 
 func (c *Client) callViaPeer(ctx context.Context, call RelayedCall) (*RelayedAnswer, error) {
-	if c.Carry == nil {
+	if c.Relay == nil {
 		return nil, kind.New(kind.Unavailable, "no peer to reach the store through")
 	}
 	raw, err := json.Marshal(call)
@@ -369,7 +369,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, relayTimeout)
 	defer cancel()
-	reply, err := c.Carry(ctx, raw)
+	reply, err := c.Relay(ctx, raw)
 	if err != nil {
 		return nil, err
 	}
@@ -386,19 +386,19 @@
 
 // reportChange calls Changed if the reachability has changed since the last call.
 func (c *Client) reportChange() {
-	now := [2]bool{c.DirectOK(), c.Reachable()}
+	now := [2]bool{c.DirectlyReachable(), c.Reachable()}
 	c.mu.Lock()
 	changed := now != c.lastReported
 	c.lastReported = now
 	c.mu.Unlock()
-	if changed && c.Changed != nil {
-		c.Changed(now[0], now[1])
+	if changed && c.OnChange != nil {
+		c.OnChange(now[0], now[1])
 	}
 }
 
-// Serve carries out a call that a peer sent. It calls the store directly and never relays the
+// ServeRelayed carries out a call that a peer sent. It calls the store directly and never relays the
 // call again.
-func (c *Client) Serve(ctx context.Context, raw []byte) ([]byte, error) {
+func (c *Client) ServeRelayed(ctx context.Context, raw []byte) ([]byte, error) {
 	var call RelayedCall
 	if err := json.Unmarshal(raw, &call); err != nil {
 		return nil, kind.Wrap(kind.BadRequest, err, "decode call to the store")
--- a/rows/client_test.go
+++ b/rows/client_test.go
@@ -43,14 +43,14 @@
 func (f *fakeStore) Get(ctx context.Context, _ Range) (Page, error) {
 	return Page{Ver: 1}, f.answer(ctx)
 }
-func (f *fakeStore) Feed(ctx context.Context, _ Since) (Page, error) {
+func (f *fakeStore) Feed(ctx context.Context, _ FeedQuery) (Page, error) {
 	return Page{Ver: 1}, f.answer(ctx)
 }
 
 // clientWithPeer returns a client whose peer reaches the store through a client of its own.
 func clientWithPeer(own, peers *fakeStore) *Client {
 	peer := &Client{Direct: peers, Now: time.Now}
-	return &Client{Direct: own, Now: time.Now, Carry: peer.Serve}
+	return &Client{Direct: own, Now: time.Now, Relay: peer.ServeRelayed}
 }
 
 // pagedStore returns pages of increasing versions.
@@ -69,7 +69,7 @@
 	It("returns the version of the first page, because later writes may be missing", func(ctx context.Context) {
 		row := func(name string) Row { return Row{Key: Key{Name: name}} }
 		p := &pagedStore{pages: []Page{{Rows: []Row{row("b")}, More: true, Ver: 7}, {Rows: []Row{row("c")}, Ver: 9}}}
-		all, ver, err := All(ctx, p, Range{})
+		all, ver, err := ReadAll(ctx, p, Range{})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(all).To(HaveLen(2))
 		Expect(ver).To(BeEquivalentTo(7))
@@ -82,7 +82,7 @@
 		c := clientWithPeer(own, peers)
 		_, err := c.Tx(ctx, Tx{})
 		Expect(err).NotTo(HaveOccurred())
-		Expect(c.DirectOK()).To(BeTrue())
+		Expect(c.DirectlyReachable()).To(BeTrue())
 		Expect(peers.calls.Load()).To(BeZero())
 	})
 
@@ -109,7 +109,7 @@
 		Expect(err).NotTo(HaveOccurred())
 		Expect(res.Ver).To(Equal(uint64(1)))
 		Expect(c.Reachable()).To(BeTrue())
-		Expect(c.DirectOK()).To(BeFalse())
+		Expect(c.DirectlyReachable()).To(BeFalse())
 	})
 
 	It("does not resend a write whose response was lost", func(ctx context.Context) {
@@ -158,13 +158,13 @@
 var _ = Describe("a large response over a slow link", func() {
 	It("may take as long as data arrives, and is not requested from a peer as well", func(ctx context.Context) {
 		peers := &fakeStore{}
-		c := &Client{Direct: &slowTransferStore{parts: 20}, Now: time.Now, Carry: (&Client{Direct: peers, Now: time.Now}).Serve}
+		c := &Client{Direct: &slowTransferStore{parts: 20}, Now: time.Now, Relay: (&Client{Direct: peers, Now: time.Now}).ServeRelayed}
 		begun := time.Now()
 		_, err := c.Get(ctx, Range{})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(time.Since(begun)).To(BeNumerically(">", directTimeout))
 		Expect(peers.calls.Load()).To(BeZero())
-		Expect(c.Patience()).To(Equal(minResendDelay), "the transfer time does not count as latency")
+		Expect(c.ResendDelay()).To(Equal(minResendDelay), "the transfer time does not count as latency")
 	})
 
 	It("counts as reaching the store while data arrives", func(ctx context.Context) {
@@ -176,8 +176,8 @@
 			_, err := c.DirectOnly(nil).Get(ctx, Range{})
 			Expect(err).NotTo(HaveOccurred())
 		}()
-		Eventually(c.DirectOK).Should(BeTrue())
-		Consistently(c.DirectOK, time.Second).Should(BeTrue())
+		Eventually(c.DirectlyReachable).Should(BeTrue())
+		Consistently(c.DirectlyReachable, time.Second).Should(BeTrue())
 		<-done
 	})
 
@@ -195,7 +195,7 @@
 		c := &Client{Direct: &fakeStore{after: 300 * time.Millisecond}, Now: time.Now}
 		asked, cancel := context.WithCancel(ctx)
 		time.AfterFunc(50*time.Millisecond, cancel)
-		_, err := c.Serve(asked, []byte(`{"get":{"t":"x"}}`))
+		_, err := c.ServeRelayed(asked, []byte(`{"get":{"t":"x"}}`))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(c.isDirectDown()).To(BeFalse())
 	})
@@ -221,7 +221,7 @@
 var _ = Describe("reading several pages after an error", func() {
 	It("continues where it stopped", func(ctx context.Context) {
 		f := &flakyStore{fails: 3}
-		var p Reading
+		var p RangeReader
 		Expect(p.Read(ctx, f, Range{})).NotTo(Succeed())
 		Expect(p.Done).To(BeFalse())
 		Expect(p.Read(ctx, f, Range{})).To(Succeed())
@@ -264,7 +264,7 @@
 // slowFeedStore responds to reads at once, and to Feed after the full wait.
 type slowFeedStore struct{ fakeStore }
 
-func (f *slowFeedStore) Feed(_ context.Context, s Since) (Page, error) {
+func (f *slowFeedStore) Feed(_ context.Context, s FeedQuery) (Page, error) {
 	time.Sleep(s.Wait)
 	return Page{Ver: s.Ver}, nil
 }
@@ -274,7 +274,7 @@
 		c := &Client{Direct: &slowFeedStore{}, Now: time.Now}
 		// The calls of an instance without a cell within 4.5 s: feeds that wait 0.9 s, and a probe every 0.3 s.
 		for range 5 {
-			_, err := c.DirectOnly(nil).Feed(ctx, Since{Wait: 900 * time.Millisecond})
+			_, err := c.DirectOnly(nil).Feed(ctx, FeedQuery{Wait: 900 * time.Millisecond})
 			Expect(err).NotTo(HaveOccurred())
 			for range 3 {
 				_, err = c.Probe(ctx, Range{})
@@ -282,6 +282,6 @@
 			}
 		}
 		Expect(c.hedgeDelay(RelayedCall{Get: &Range{}}, false)).To(Equal(minHedgeDelay))
-		Expect(c.Patience()).To(Equal(minResendDelay))
+		Expect(c.ResendDelay()).To(Equal(minResendDelay))
 	})
 })
--- a/rows/rows.go
+++ b/rows/rows.go
@@ -29,9 +29,9 @@
 // Row is a row, or the record of its deletion if Gone is set.
 type Row struct {
 	Key
-	Value []byte `json:"v,omitempty"`
-	Ver   uint64 `json:"ver,omitempty"`
-	Gone  bool   `json:"gone,omitempty"`
+	Value   []byte `json:"v,omitempty"`
+	Ver     uint64 `json:"ver,omitempty"`
+	Deleted bool   `json:"gone,omitempty"`
 }
 
 // Check is a precondition: the row has version Ver, or does not exist if Ver is 0.
@@ -45,8 +45,8 @@
 	Expect []Check `json:"expect,omitempty"`
 	Put    []Row   `json:"put,omitempty"`
 	Remove []Key   `json:"remove,omitempty"`
-	// Across says that the transaction may span several parts.
-	Across bool `json:"across,omitempty"`
+	// CrossPart says that the transaction may span several parts.
+	CrossPart bool `json:"across,omitempty"`
 }
 
 // MaxEntries is the maximum number of entries in a transaction.
@@ -73,9 +73,9 @@
 	Limit int    `json:"limit,omitempty"`
 }
 
-// Since selects the changes of a table after version Ver. Wait is how long to wait for the
+// FeedQuery selects the changes of a table after version Ver. Wait is how long to wait for the
 // first change.
-type Since struct {
+type FeedQuery struct {
 	Table string        `json:"t"`
 	Ver   uint64        `json:"ver"`
 	Wait  time.Duration `json:"wait"`
@@ -88,18 +88,18 @@
 	More    bool   `json:"more,omitempty"`
 	Ver     uint64 `json:"ver"`
 	ClockMS int64  `json:"clock,omitempty"`
-	// Forgotten says that the store no longer has the requested changes.
-	Forgotten bool `json:"forgotten,omitempty"`
-	// Bad holds the rows that could not be decoded. They do not affect the other rows.
-	Bad []Bad `json:"bad,omitempty"`
+	// HistoryTrimmed says that the store no longer has the requested changes.
+	HistoryTrimmed bool `json:"forgotten,omitempty"`
+	// BadRows holds the rows that could not be decoded. They do not affect the other rows.
+	BadRows []BadRow `json:"bad,omitempty"`
 	// Last is the last name of the page, including rows that could not be decoded. If it is "",
 	// the last name is that of the last row in Rows.
 	Last string `json:"last,omitempty"`
 }
 
-// Bad is a row that could not be decoded, because it is damaged or was written by another
+// BadRow is a row that could not be decoded, because it is damaged or was written by another
 // program.
-type Bad struct {
+type BadRow struct {
 	// Key holds the parts of the key that could be decoded.
 	Key
 	Ver    uint64 `json:"v,omitempty"`
@@ -119,29 +119,29 @@
 type Store interface {
 	Tx(ctx context.Context, t Tx) (Result, error)
 	Get(ctx context.Context, r Range) (Page, error)
-	Feed(ctx context.Context, s Since) (Page, error)
+	Feed(ctx context.Context, s FeedQuery) (Page, error)
 }
 
-// One returns the only row of a page, or a row with version 0 if there is none.
-func (p Page) One() Row {
+// First returns the only row of a page, or a row with version 0 if there is none.
+func (p Page) First() Row {
 	if len(p.Rows) == 0 {
 		return Row{}
 	}
 	return p.Rows[0]
 }
 
-// Only returns the range that contains only the row with this key.
-func Only(k Key) Range {
+// KeyRange returns the range that contains only the row with this key.
+func KeyRange(k Key) Range {
 	return Range{Table: k.Table, Part: k.Part, From: k.Name, To: k.Name + "\x00", Limit: 1}
 }
 
-// Reading reads a range page by page. After an error, the next call to Read continues where the
+// RangeReader reads a range page by page. After an error, the next call to Read continues where the
 // last one stopped, so that a long range can be read completely over a slow link. The zero
 // value has read nothing.
-type Reading struct {
+type RangeReader struct {
 	Rows []Row
-	// Bad holds the rows of the range that could not be decoded.
-	Bad []Bad
+	// BadRows holds the rows of the range that could not be decoded.
+	BadRows []BadRow
 	// Ver is the version of the first page. A change that is missing from Rows has a later
 	// version.
 	Ver  uint64
@@ -151,7 +151,7 @@
 }
 
 // Read reads the rest of the range. Every call must pass the same range.
-func (p *Reading) Read(ctx context.Context, s Store, r Range) error {
+func (p *RangeReader) Read(ctx context.Context, s Store, r Range) error {
 	for !p.Done {
 		if p.nextFrom != "" {
 			r.From = p.nextFrom
@@ -160,7 +160,7 @@
 		if err != nil {
 			return err
 		}
-		p.Rows, p.Bad = append(p.Rows, page.Rows...), append(p.Bad, page.Bad...)
+		p.Rows, p.BadRows = append(p.Rows, page.Rows...), append(p.BadRows, page.BadRows...)
 		if p.Ver == 0 {
 			p.Ver = page.Ver
 		}
@@ -172,9 +172,9 @@
 	return nil
 }
 
-// All reads a whole range and returns its rows and the version of the first page.
-func All(ctx context.Context, s Store, r Range) ([]Row, uint64, error) {
-	var p Reading
+// ReadAll reads a whole range and returns its rows and the version of the first page.
+func ReadAll(ctx context.Context, s Store, r Range) ([]Row, uint64, error) {
+	var p RangeReader
 	if err := p.Read(ctx, s, r); err != nil {
 		return nil, 0, err
 	}
--- a/rows/suspend_test.go
+++ b/rows/suspend_test.go
@@ -22,5 +22,5 @@
 	g.Expect(c.Reachable()).To(BeTrue())
 	clock.Sleep(3 * time.Second)
 	g.Expect(c.Reachable()).To(BeFalse())
-	g.Expect(c.DirectOK()).To(BeFalse())
+	g.Expect(c.DirectlyReachable()).To(BeFalse())
 }
--- a/upkeep/record.go
+++ b/upkeep/record.go
@@ -13,10 +13,10 @@
 	Bad      string
 	Number   int
 	Machines []string
-	// Most is how many machines may be down at once for this wave, and Time how long the whole
+	// MaxDown is how many machines may be down at once for this wave, and Time how long the whole
 	// wave should take.
-	Most int
-	Time time.Duration
+	MaxDown  int
+	Duration time.Duration
 	// Done says that the wave was reported as done.
 	Done bool
 }
@@ -37,14 +37,14 @@
 	// its start time, 0 if it is unknown.
 	Worker string `json:"worker"`
 	Born   int64  `json:"born,omitempty"`
-	// Back says that another incarnation with the same worker id was seen after the upkeep had
+	// Returned says that another incarnation with the same worker id was seen after the upkeep had
 	// begun.
-	Back bool `json:"back,omitempty"`
+	Returned bool `json:"back,omitempty"`
 	// Begun says that the platform has begun the upkeep, or never will.
 	Begun bool `json:"begun,omitempty"`
-	// Unsure says that the order was repeated while another incarnation was running, so that
+	// Unconfirmed says that the order was repeated while another incarnation was running, so that
 	// the upkeep may have been over already. A later list of machines resolves this.
-	Unsure bool `json:"unsure,omitempty"`
+	Unconfirmed bool `json:"unsure,omitempty"`
 }
 
 // Record is the stored state of a wave: the slots by the name of the machine.
@@ -84,7 +84,7 @@
 func (r Record) confirmedDone(all machinesByName) []string {
 	var out []string
 	for name, slot := range r {
-		if slot.Unsure && all[name].Up {
+		if slot.Unconfirmed && all[name].Up {
 			out = append(out, name)
 		}
 	}
@@ -99,7 +99,7 @@
 	var out []string
 	for name, slot := range r {
 		m := all[name]
-		if !slot.Begun || slot.Back || !m.Up || m.Worker != slot.Worker || slot.Born == 0 {
+		if !slot.Begun || slot.Returned || !m.Up || m.Worker != slot.Worker || slot.Born == 0 {
 			continue
 		}
 		if now, sure := life(m.Worker); sure && now != 0 && now != slot.Born {
@@ -112,10 +112,10 @@
 
 // freeSlots returns how many more machines may be taken down.
 func (r Record) freeSlots(w *Wave, all machinesByName) int {
-	free := w.Most
+	free := w.MaxDown
 	for name, slot := range r {
 		m, exists := all[name]
-		back := m.Up && (m.Worker != slot.Worker || slot.Back)
+		back := m.Up && (m.Worker != slot.Worker || slot.Returned)
 		if !slot.Begun || (exists && !back) {
 			free--
 		}
@@ -148,6 +148,6 @@
 
 // drainTime returns how long a machine may be drained: half of its share of the wave's time.
 func (w *Wave) drainTime() time.Duration {
-	turns := (len(w.Machines) + w.Most - 1) / max(w.Most, 1)
-	return min(max(w.Time/time.Duration(2*max(turns, 1)), minDrainTime), maxDrainTime)
+	turns := (len(w.Machines) + w.MaxDown - 1) / max(w.MaxDown, 1)
+	return min(max(w.Duration/time.Duration(2*max(turns, 1)), minDrainTime), maxDrainTime)
 }
--- a/upkeep/runner.go
+++ b/upkeep/runner.go
@@ -28,8 +28,8 @@
 	Begun Answer = iota
 	// Busy says that the machine is not up.
 	Busy
-	// NotWanted says that the machine does not exist or does not belong to the wave.
-	NotWanted
+	// NotInWave says that the machine does not exist or does not belong to the wave.
+	NotInWave
 )
 
 // Order asks for the upkeep of a machine, with a fencing token.
@@ -52,16 +52,16 @@
 
 // Cell is the cell that owns the workers.
 type Cell interface {
-	// Empty drains exactly these workers, each for at most limit from the first call that
+	// Drain drains exactly these workers, each for at most limit from the first call that
 	// names it.
-	Empty(workers []string, limit time.Duration)
-	// Emptied reports whether a worker is drained and its machine may be taken down.
-	Emptied(worker string) bool
-	// Life returns the start time of the newest known incarnation of a worker, 0 if it is
+	Drain(workers []string, limit time.Duration)
+	// Drained reports whether a worker is drained and its machine may be taken down.
+	Drained(worker string) bool
+	// Incarnation returns the start time of the newest known incarnation of a worker, 0 if it is
 	// unknown, and whether that incarnation is certainly present now.
-	Life(worker string) (born int64, sure bool)
-	// Over tells the cell that an incarnation of a worker has ended.
-	Over(worker string, born int64)
+	Incarnation(worker string) (born int64, sure bool)
+	// IncarnationEnded tells the cell that an incarnation of a worker has ended.
+	IncarnationEnded(worker string, born int64)
 }
 
 // Runner carries out the waves for one cell. All fields must be set.
@@ -72,9 +72,9 @@
 	// Holder is the id of this instance, and Fence the epoch of its cell.
 	Holder string
 	Fence  uint64
-	// Mine reports whether the workers of a rack belong to this cell.
-	Mine func(rack string) bool
-	Log  log.Logger
+	// OwnsRack reports whether the workers of a rack belong to this cell.
+	OwnsRack func(rack string) bool
+	Log      log.Logger
 }
 
 // Step does what can be done now. It must be called periodically.
@@ -90,7 +90,7 @@
 		return w.Bad != "" || w.Done
 	})
 	if len(waves) == 0 {
-		r.Cell.Empty(nil, 0)
+		r.Cell.Drain(nil, 0)
 		return nil
 	}
 	all, err := r.Platform.Machines(ctx)
@@ -113,7 +113,7 @@
 		return err
 	}
 	if len(p.remaining(w, all)) == 0 {
-		r.Cell.Empty(nil, 0)
+		r.Cell.Drain(nil, 0)
 		level.Info(r.Log).Log("event", "wave_done", "wave", w.Number, "machines", len(w.Machines))
 		return r.Platform.Report(ctx, w.Number, true)
 	}
@@ -127,17 +127,17 @@
 			return err
 		}
 	}
-	for _, name := range p.returned(all, r.Cell.Life) {
+	for _, name := range p.returned(all, r.Cell.Incarnation) {
 		slot := p.Record[name]
-		slot.Back = true
+		slot.Returned = true
 		if err := r.writeRecord(ctx, w.Number, &p, name, &slot); err != nil {
 			return err
 		}
 	}
-	next := p.nextToDrain(w, all, r.Mine)
-	r.Cell.Empty(workerIDs(next), w.drainTime())
+	next := p.nextToDrain(w, all, r.OwnsRack)
+	r.Cell.Drain(workerIDs(next), w.drainTime())
 	for _, m := range next {
-		if !r.Cell.Emptied(m.Worker) {
+		if !r.Cell.Drained(m.Worker) {
 			continue
 		}
 		if err := r.beginUpkeep(ctx, w, &p, m); err != nil {
@@ -158,7 +158,7 @@
 // beginUpkeep takes a slot for a machine and orders its upkeep.
 func (r *Runner) beginUpkeep(ctx context.Context, w *Wave, p *versionedRecord, m Machine) error {
 	previous, repeated := p.Record[m.Name]
-	born, _ := r.Cell.Life(m.Worker)
+	born, _ := r.Cell.Incarnation(m.Worker)
 	sameIncarnation := !repeated || (previous.Worker == m.Worker && previous.Born == born)
 	if err := r.writeRecord(ctx, w.Number, p, m.Name, &Slot{Worker: m.Worker, Born: born}); err != nil {
 		return err
@@ -172,20 +172,20 @@
 	case a == Busy:
 		return r.writeRecord(ctx, w.Number, p, m.Name, nil)
 	case a == Begun && sameIncarnation:
-		r.Cell.Over(m.Worker, born)
+		r.Cell.IncarnationEnded(m.Worker, born)
 	}
-	return r.writeRecord(ctx, w.Number, p, m.Name, &Slot{Worker: m.Worker, Born: born, Begun: true, Unsure: !sameIncarnation})
+	return r.writeRecord(ctx, w.Number, p, m.Name, &Slot{Worker: m.Worker, Born: born, Begun: true, Unconfirmed: !sameIncarnation})
 }
 
 func recordKey(wave int) rows.Key { return rows.Key{Table: Table, Name: strconv.Itoa(wave)} }
 
 func (r *Runner) readRecord(ctx context.Context, wave int) (versionedRecord, error) {
 	p := versionedRecord{Record: make(Record)}
-	got, err := r.Store.Get(ctx, rows.Only(recordKey(wave)))
+	got, err := r.Store.Get(ctx, rows.KeyRange(recordKey(wave)))
 	if err != nil {
 		return p, err
 	}
-	row := got.One()
+	row := got.First()
 	if row.Ver == 0 {
 		return p, nil
 	}
--- a/upkeep/upkeep_test.go
+++ b/upkeep/upkeep_test.go
@@ -60,10 +60,10 @@
 	away map[string]bool
 }
 
-func (c *fakeCell) Empty(workers []string, _ time.Duration) { c.draining = workers }
-func (c *fakeCell) Emptied(w string) bool                   { return !c.busy[w] }
-func (c *fakeCell) Over(w string, _ int64)                  { c.ended = append(c.ended, w) }
-func (c *fakeCell) Life(w string) (int64, bool)             { return c.lives[w], !c.away[w] }
+func (c *fakeCell) Drain(workers []string, _ time.Duration) { c.draining = workers }
+func (c *fakeCell) Drained(w string) bool                   { return !c.busy[w] }
+func (c *fakeCell) IncarnationEnded(w string, _ int64)      { c.ended = append(c.ended, w) }
+func (c *fakeCell) Incarnation(w string) (int64, bool)      { return c.lives[w], !c.away[w] }
 
 // fakeStore is a store with one row.
 type fakeStore struct {
@@ -98,7 +98,7 @@
 
 	BeforeEach(func() {
 		s = &fakePlatform{
-			waves: []Wave{{Number: 4, Machines: []string{"m0", "m1", "m2"}, Most: 1, Time: 30 * time.Second}},
+			waves: []Wave{{Number: 4, Machines: []string{"m0", "m1", "m2"}, MaxDown: 1, Duration: 30 * time.Second}},
 			machines: []Machine{
 				{Name: "m0", Worker: "w0", Up: true}, {Name: "m1", Worker: "w1", Up: true}, {Name: "m2", Worker: "w2", Up: true},
 			},
@@ -106,7 +106,7 @@
 		c = &fakeCell{busy: make(map[string]bool), lives: make(map[string]int64)}
 		r = &Runner{
 			Platform: s, Store: &fakeStore{}, Cell: c, Holder: "me", Fence: 3,
-			Mine: func(string) bool { return true }, Log: log.NewNopLogger(),
+			OwnsRack: func(string) bool { return true }, Log: log.NewNopLogger(),
 		}
 	})
 
@@ -199,7 +199,7 @@
 	})
 
 	It("does not touch machines of other cells", func() {
-		r.Mine = func(string) bool { return false }
+		r.OwnsRack = func(string) bool { return false }
 		Expect(step()).To(Succeed())
 		Expect(s.orders).To(BeEmpty())
 	})
@@ -214,7 +214,7 @@
 		s.answer = Busy
 		Expect(step()).To(Succeed())
 		Expect(c.ended).To(BeEmpty())
-		s.answer = NotWanted
+		s.answer = NotInWave
 		Expect(step()).To(Succeed())
 		Expect(s.orders[1].Machine).To(Equal("m0"))
 		s.answer = Begun
@@ -226,7 +226,7 @@
 	It("respects a slot that another owner has taken", func() {
 		Expect(step()).To(Succeed())
 		other := *r
-		other.Mine = func(string) bool { return true }
+		other.OwnsRack = func(string) bool { return true }
 		s.machines = s.machines[1:]
 		s.machines = append(s.machines, Machine{Name: "m0", Worker: "w0", Up: false})
 		Expect(other.Step(context.Background())).To(Succeed())
