--- a/config/config.go
+++ b/config/config.go
@@ -34,8 +34,8 @@
 	Version uint64
 	Queues  []Queue
 	Limits  Limits
-	// Accounts are the client accounts. Keyed says that all queues which are not open require a
-	// key of one of them.
+	// Accounts are the client accounts. KeysRequired says that all queues which are not open
+	// require a key of one of them.
 	Accounts     []cell.Account
 	KeysRequired bool
 	// Raw is the document from which the configuration was decoded.
--- a/config/pack.go
+++ b/config/pack.go
@@ -26,8 +26,8 @@
 // gzipMagic is the prefix of compressed documents. JSON never begins with it.
 var gzipMagic = []byte{0x1f, 0x8b}
 
-// Decompress decompresses a document that was returned by Packed. A document that is not compressed
-// is returned unchanged, because older versions of dewpass send it that way.
+// Decompress decompresses a document that was returned by Compressed. A document that is not
+// compressed is returned unchanged, because older versions of dewpass send it that way.
 func Decompress(packed []byte) ([]byte, error) {
 	if !bytes.HasPrefix(packed, gzipMagic) {
 		return packed, nil
--- a/expiry/expiry.go
+++ b/expiry/expiry.go
@@ -161,8 +161,8 @@
 	return k.ID == e.ID && (e.ID != "" || k.Refused)
 }
 
-// SweepInstances removes the rows of instances that were not used for instanceRetention, and returns
-// how many were removed.
+// SweepInstances removes the rows of instances that were not used for instanceRetention, and
+// returns how many were removed.
 func (s *Sweeper) SweepInstances(ctx context.Context, now time.Time) (int, error) {
 	members, err := s.unusedRows(ctx, hall.MemberPrefix(s.Hall), hall.MemberSeen, now)
 	if err != nil {
--- a/flow/flow.go
+++ b/flow/flow.go
@@ -112,7 +112,8 @@
 	Image string `json:"image,omitempty"`
 	// TargetMS is the upper limit of the tail latency of a serving task, in milliseconds.
 	TargetMS int64 `json:"target_ms,omitempty"`
-	// MaxUnavailable is how many tasks of a long-running step may be unavailable at the same time.
+	// MaxUnavailable is how many tasks of a long-running step may be unavailable at the same
+	// time.
 	MaxUnavailable int `json:"may_miss,omitempty"`
 
 	// Checkpoints says that the tasks save checkpoints.
@@ -129,8 +130,8 @@
 	IdleCPUOnly bool `json:"fills,omitempty"`
 }
 
-// Reservation returns the resources that a task of s reserves on its worker. A task with Fills
-// reserves no processor time.
+// Reservation returns the resources that a task of s reserves on its worker. A task with
+// IdleCPUOnly reserves no processor time.
 func (s *Step) Reservation() sched.Vec {
 	v := s.Demand
 	if s.IdleCPUOnly {
@@ -195,7 +196,8 @@
 	return time.UnixMilli(s.StartMS + int64(k)*s.EveryMS)
 }
 
-// EstimatedWork returns the estimated processor time of one repetition, without long-running steps.
+// EstimatedWork returns the estimated processor time of one repetition, without long-running
+// steps.
 func (s *Spec) EstimatedWork() time.Duration {
 	var sum time.Duration
 	for i := range s.Steps {
--- a/flow/record.go
+++ b/flow/record.go
@@ -44,7 +44,7 @@
 	AtMS int64 `json:"at_ms"`
 }
 
-// DecodeFinalRecord decodes and validates the row of an Ended.
+// DecodeFinalRecord decodes and validates the row of a FinalRecord.
 func DecodeFinalRecord(raw []byte) (*FinalRecord, error) {
 	e := new(FinalRecord)
 	if err := json.Unmarshal(raw, e); err != nil {
--- a/lease/doc.go
+++ b/lease/doc.go
@@ -11,7 +11,7 @@
 // to expire, measure it from the last request that may have renewed it, and
 // wait a margin longer. Both use only the monotonic clock of their own process.
 //
-// A Guard detects that its process was paused, by a gap between two of its own
+// A PauseDetector detects that its process was paused, by a gap between two of its own
 // ticks. After a pause, earlier knowledge must be confirmed before it is used.
 //
 // All functions are pure: the time is an argument.
--- a/rows/attempt.go
+++ b/rows/attempt.go
@@ -10,12 +10,12 @@
 	"dewpass.org/kind"
 )
 
-// WriteAttempt sends a write once whose response may be late or lost. Until the response arrives, it
-// checks periodically whether the write has taken effect.
+// WriteAttempt sends a write once whose response may be late or lost. Until the response
+// arrives, it checks periodically whether the write has taken effect.
 type WriteAttempt struct {
 	Store Store
 	Tx    Tx
-	// Lookup is called at intervals of Every. It returns true once the store shows whether the
+	// Lookup is called at every Interval. It returns true once the store shows whether the
 	// write took effect.
 	Lookup   func(ctx context.Context) (Result, bool, error)
 	Interval time.Duration
@@ -30,7 +30,7 @@
 }
 
 // Send sends the write. The bool reports whether the result and the error are the store's
-// response. Otherwise they were returned by Look, or the error is of kind Lost: the write may
+// response. Otherwise they were returned by Lookup, or the error is of kind Lost: the write may
 // still take effect later, or never.
 func (a WriteAttempt) Send(ctx context.Context) (Result, bool, error) {
 	ctx, cancel := context.WithCancel(ctx)
--- a/rows/client.go
+++ b/rows/client.go
@@ -77,7 +77,8 @@
 // DirectlyReachable reports whether the store currently answers this instance directly.
 func (c *Client) DirectlyReachable() bool { return c.AnsweredDirectly(reachableWindow) }
 
-// AnsweredDirectly reports whether the store has answered this instance directly within the given time.
+// AnsweredDirectly reports whether the store has answered this instance directly within the
+// given time.
 func (c *Client) AnsweredDirectly(within time.Duration) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -107,8 +108,8 @@
 	return c.Now().Sub(last)
 }
 
-// KnownUnreachable reports whether calls have shown that the store cannot be reached, neither directly
-// nor through a peer.
+// KnownUnreachable reports whether calls have shown that the store cannot be reached, neither
+// directly nor through a peer.
 func (c *Client) KnownUnreachable() bool { return c.isDirectDown() && !c.Reachable() }
 
 // Tx implements Store.
@@ -259,8 +260,8 @@
 	return max(minHedgeDelay, hedgeLatencyFactor*c.latency)
 }
 
-// ResendDelay returns how long to wait for a write to appear before sending it again: its response
-// may have been lost, and it may take effect seconds later or never.
+// ResendDelay returns how long to wait for a write to appear before sending it again: its
+// response may have been lost, and it may take effect seconds later or never.
 func (c *Client) ResendDelay() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -396,8 +397,8 @@
 	}
 }
 
-// ServeRelayed carries out a call that a peer sent. It calls the store directly and never relays the
-// call again.
+// ServeRelayed carries out a call that a peer sent. It calls the store directly and never
+// relays the call again.
 func (c *Client) ServeRelayed(ctx context.Context, raw []byte) ([]byte, error) {
 	var call RelayedCall
 	if err := json.Unmarshal(raw, &call); err != nil {
--- a/rows/client_test.go
+++ b/rows/client_test.go
@@ -272,7 +272,8 @@
 var _ = Describe("waiting for a change", func() {
 	It("does not count as latency of the store", func(ctx context.Context) {
 		c := &Client{Direct: &slowFeedStore{}, Now: time.Now}
-		// The calls of an instance without a cell within 4.5 s: feeds that wait 0.9 s, and a probe every 0.3 s.
+		// The calls of an instance without a cell within 4.5 s: feeds that wait 0.9 s, and a
+		// probe every 0.3 s.
 		for range 5 {
 			_, err := c.DirectOnly(nil).Feed(ctx, FeedQuery{Wait: 900 * time.Millisecond})
 			Expect(err).NotTo(HaveOccurred())
--- a/rows/rows.go
+++ b/rows/rows.go
@@ -135,8 +135,8 @@
 	return Range{Table: k.Table, Part: k.Part, From: k.Name, To: k.Name + "\x00", Limit: 1}
 }
 
-// RangeReader reads a range page by page. After an error, the next call to Read continues where the
-// last one stopped, so that a long range can be read completely over a slow link. The zero
+// RangeReader reads a range page by page. After an error, the next call to Read continues where
+// the last one stopped, so that a long range can be read completely over a slow link. The zero
 // value has read nothing.
 type RangeReader struct {
 	Rows []Row
--- a/upkeep/record.go
+++ b/upkeep/record.go
@@ -13,8 +13,8 @@
 	Bad      string
 	Number   int
 	Machines []string
-	// MaxDown is how many machines may be down at once for this wave, and Time how long the whole
-	// wave should take.
+	// MaxDown is how many machines may be down at once for this wave, and Duration how long the
+	// whole wave should take.
 	MaxDown  int
 	Duration time.Duration
 	// Done says that the wave was reported as done.
@@ -37,8 +37,8 @@
 	// its start time, 0 if it is unknown.
 	Worker string `json:"worker"`
 	Born   int64  `json:"born,omitempty"`
-	// Returned says that another incarnation with the same worker id was seen after the upkeep had
-	// begun.
+	// Returned says that another incarnation with the same worker id was seen after the upkeep
+	// had begun.
 	Returned bool `json:"back,omitempty"`
 	// Begun says that the platform has begun the upkeep, or never will.
 	Begun bool `json:"begun,omitempty"`
@@ -79,7 +79,7 @@
 	return append(held, rest...)
 }
 
-// confirmedDone returns the machines with an Unsure slot that are up in a later list, which
+// confirmedDone returns the machines with an Unconfirmed slot that are up in a later list, which
 // shows that their upkeep was over before it was ordered again.
 func (r Record) confirmedDone(all machinesByName) []string {
 	var out []string
--- a/upkeep/runner.go
+++ b/upkeep/runner.go
@@ -52,8 +52,8 @@
 
 // Cell is the cell that owns the workers.
 type Cell interface {
-	// Drain drains exactly these workers, each for at most limit from the first call that
-	// names it.
+	// Drain makes exactly these workers drain, each for at most limit from the first call
+	// that names it.
 	Drain(workers []string, limit time.Duration)
 	// Drained reports whether a worker is drained and its machine may be taken down.
 	Drained(worker string) bool
