--- a/config/config_test.go
+++ b/config/config_test.go
@@ -10,7 +10,7 @@
 	. "github.com/onsi/gomega"
 )
 
-func TestPackedDocumentIsSmallAndComplete(t *testing.T) {
+func TestCompressedDocumentIsSmallAndComplete(t *testing.T) {
 	g := NewWithT(t)
 	var raw bytes.Buffer
 	for i := range 4000 {
@@ -24,17 +24,17 @@
 	g.Expect(back).To(Equal(raw.Bytes()))
 }
 
-func TestUnpackRejectsTruncatedAndOversizedDocuments(t *testing.T) {
+func TestDecompressRejectsTruncatedAndOversizedDocuments(t *testing.T) {
 	g := NewWithT(t)
 	_, err := Decompress((&Config{Raw: []byte("{}")}).Compressed()[:2])
 	g.Expect(err).To(HaveOccurred())
 	_, err = Decompress((&Config{Raw: []byte("{}")}).Compressed()[:12])
 	g.Expect(err).To(HaveOccurred())
-	_, err = Decompress((&Config{Raw: make([]byte, maxUnpackedBytes+1)}).Compressed())
+	_, err = Decompress((&Config{Raw: make([]byte, maxDecompressedBytes+1)}).Compressed())
 	g.Expect(err).To(HaveOccurred())
 }
 
-func TestUnpackAcceptsAnUncompressedDocument(t *testing.T) {
+func TestDecompressAcceptsAnUncompressedDocument(t *testing.T) {
 	g := NewWithT(t)
 	raw, err := Decompress([]byte(`{"version":3}`))
 	g.Expect(err).NotTo(HaveOccurred())
--- a/config/pack.go
+++ b/config/pack.go
@@ -10,9 +10,9 @@
 	"dewpass.org/kind"
 )
 
-// maxUnpackedBytes bounds the size of a decompressed document. It is several times the maximum
+// maxDecompressedBytes bounds the size of a decompressed document. It is several times the maximum
 // size of a row in the store.
-const maxUnpackedBytes = 64 << 20
+const maxDecompressedBytes = 64 << 20
 
 func compress(raw []byte) []byte {
 	var buf bytes.Buffer
@@ -36,11 +36,11 @@
 	if err != nil {
 		return nil, kind.Wrap(kind.Damaged, err, "decompress configuration")
 	}
-	raw, err := io.ReadAll(io.LimitReader(r, maxUnpackedBytes+1))
+	raw, err := io.ReadAll(io.LimitReader(r, maxDecompressedBytes+1))
 	switch {
 	case err != nil:
 		return nil, kind.Wrap(kind.Damaged, err, "decompress configuration")
-	case len(raw) > maxUnpackedBytes:
+	case len(raw) > maxDecompressedBytes:
 		return nil, kind.New(kind.Damaged, "decompressed configuration is too large")
 	}
 	return raw, nil
