--- a/internal/clock/off.go
+++ b/internal/clock/off.go
@@ -6,11 +6,11 @@
 
 import "time"
 
-// Now returns the time. What lies between two of them counts also what the machine was suspended
-// for in between; as a time of day use Wall.
-func Now() time.Time { return steadyNow() }
+// Now returns the current time. The difference between two results includes time for which the
+// machine was suspended in between. For the time of day use Wall.
+func Now() time.Time { return suspendAwareNow() }
 
-// Since returns the time that has passed since t.
+// Since returns the time elapsed since t.
 func Since(t time.Time) time.Duration { return Now().Sub(t) }
 
 // Wall returns the time of day.
--- a/internal/clock/on.go
+++ b/internal/clock/on.go
@@ -10,16 +10,16 @@
 	"time"
 )
 
-// skew is a clock that has run at rate since a moment at which it showed a
-// time.
+// skew is the state of a clock that runs at rate times the real one. It showed anchorShown at
+// the real time anchorReal, at which the rate was last set. A rate of 0 means that none is set.
 var skew struct {
-	mu    sync.Mutex
-	rate  float64
-	since time.Time
-	shown time.Time
+	mu          sync.Mutex
+	rate        float64
+	anchorReal  time.Time
+	anchorShown time.Time
 }
 
-// Now returns the time as this process sees it.
+// Now returns the current time as this process sees it.
 func Now() time.Time {
 	skew.mu.Lock()
 	defer skew.mu.Unlock()
@@ -27,32 +27,32 @@
 }
 
 func now() time.Time {
-	real := steadyNow().Add(time.Duration(slept.Load()))
+	real := suspendAwareNow().Add(time.Duration(simulatedSuspension.Load()))
 	if skew.rate == 0 {
 		return real
 	}
-	passed := float64(real.Sub(skew.since)) * skew.rate
-	return skew.shown.Add(time.Duration(passed))
+	passed := float64(real.Sub(skew.anchorReal)) * skew.rate
+	return skew.anchorShown.Add(time.Duration(passed))
 }
 
-// Since returns the time that has passed since t, as this process sees it.
+// Since returns the time elapsed since t, as this process sees it.
 func Since(t time.Time) time.Duration { return Now().Sub(t) }
 
-// SetRate makes the clock run at a rate from now on: 1 is the machine's own,
-// 1.05 is one part in twenty fast. It never jumps.
+// SetRate sets the rate at which the clock runs from now on: 1 is the machine's own rate, 1.05 is
+// 5 % fast. The time shown does not jump.
 func SetRate(rate float64) {
 	skew.mu.Lock()
 	defer skew.mu.Unlock()
 	shown := now()
-	skew.rate, skew.since, skew.shown = rate, steadyNow().Add(time.Duration(slept.Load())), shown
+	skew.rate, skew.anchorReal, skew.anchorShown = rate, suspendAwareNow().Add(time.Duration(simulatedSuspension.Load())), shown
 }
 
-// slept is for how long the machine seems to have been suspended.
-var slept atomic.Int64
+// simulatedSuspension is the total duration, in nanoseconds, of the suspensions simulated by Sleep.
+var simulatedSuspension atomic.Int64
 
-// Sleep lets the machine seem to have been suspended until now for a time that the steady
-// clock did not count.
-func Sleep(d time.Duration) { slept.Add(int64(d)) }
+// Sleep simulates that the machine has just resumed from a suspension of duration d, which the
+// monotonic clock did not count. It returns at once.
+func Sleep(d time.Duration) { simulatedSuspension.Add(int64(d)) }
 
-// Wall returns the time of day, as far off as the clock is.
-func Wall() time.Time { return Now().Add(-time.Duration(slept.Load()) - Suspended()) }
+// Wall returns the time of day, with the error that SetRate has introduced.
+func Wall() time.Time { return Now().Add(-time.Duration(simulatedSuspension.Load()) - Suspended()) }
--- a/internal/clock/on_test.go
+++ b/internal/clock/on_test.go
@@ -11,8 +11,8 @@
 	. "github.com/onsi/gomega"
 )
 
-// What is kept until a time of day was to be removed earlier by as much as the machine had been
-// suspended, as both were read from one clock.
+// Expiry times are times of day. When they were compared with Now, objects expired early by as much
+// as the machine had been suspended.
 func TestSuspensionDoesNotMoveTheTimeOfDay(t *testing.T) {
 	g := NewWithT(t)
 	before := Now()
--- a/internal/clock/suspend.go
+++ b/internal/clock/suspend.go
@@ -10,94 +10,98 @@
 	"golang.org/x/sys/unix"
 )
 
-// The steady clock stands still while a machine is suspended: an instance that wakes would take
-// its leases for valid and what it has heard for fresh. The system's boot clock goes on, but to
-// read it is a system call, too dear for each look at the time. The time of day goes on as
-// well and is read together with the steady clock at no cost. So the boot clock is read only
-// when the two have moved apart, which a suspension brings about, and a step of the time of day.
+// The monotonic clock stands still while a machine is suspended: after resuming, an instance would
+// consider its leases valid and the data it has received up to date. CLOCK_BOOTTIME continues, but
+// reading it takes a system call, which is too expensive each time the time is read. The time of day
+// continues as well and is read together with the monotonic clock at no extra cost. CLOCK_BOOTTIME is
+// therefore read only when those two have drifted apart, which happens on a suspension or when the
+// time of day is stepped.
 
 const (
-	// apart is by how much the time of day and the steady clock move apart before the boot
-	// clock is read: a suspension that is shorter matters to nothing.
-	apart = 2 * time.Millisecond
-	// Both clocks are read together within readWithin, in readTries tries, so that a turn of
-	// another thread between them isn't taken for a suspension.
-	readWithin = time.Millisecond
-	readTries  = 5
+	// driftThreshold is the drift between the time of day and the monotonic clock above which
+	// CLOCK_BOOTTIME is read. Shorter suspensions affect nothing.
+	driftThreshold = 2 * time.Millisecond
+	// Both clocks have to be read within maxReadTime, in at most maxReadAttempts attempts, so
+	// that a thread switch between the two reads is not mistaken for a suspension.
+	maxReadTime     = time.Millisecond
+	maxReadAttempts = 5
 )
 
-var suspension = newSuspended(readClocks)
+var tracker = newSuspensionTracker(readClocks)
 
-// suspended follows for how long the machine was suspended since a start.
-type suspended struct {
-	read  func() (steady, boot time.Duration, ok bool)
+// suspensionTracker tracks the total time for which the machine has been suspended since the tracker
+// was created.
+type suspensionTracker struct {
+	read  func() (monotonic, boot time.Duration, ok bool)
 	start time.Time
-	// first is by how much the boot clock was ahead of the steady one at the start.
-	first time.Duration
+	// initialOffset is how far CLOCK_BOOTTIME was ahead of CLOCK_MONOTONIC at the start.
+	initialOffset time.Duration
 
-	// moved is by how much the time of day and the steady clock had moved apart since the
-	// start when the boot clock was last read, and total for how long the machine was
-	// suspended by then.
-	moved, total atomic.Int64
+	// drift is how far the time of day and the monotonic clock had drifted apart when
+	// CLOCK_BOOTTIME was last read, and total is the suspension time known then, both in
+	// nanoseconds since the start.
+	drift, total atomic.Int64
 	mu           sync.Mutex
 }
 
-func newSuspended(read func() (steady, boot time.Duration, ok bool)) *suspended {
-	s := &suspended{read: read, start: time.Now()}
-	if steady, boot, ok := read(); ok {
-		s.first = boot - steady
+func newSuspensionTracker(read func() (monotonic, boot time.Duration, ok bool)) *suspensionTracker {
+	s := &suspensionTracker{read: read, start: time.Now()}
+	if monotonic, boot, ok := read(); ok {
+		s.initialOffset = boot - monotonic
 	}
 	return s
 }
 
-// by returns for how long the machine was suspended by a time that was just read.
-func (s *suspended) by(now time.Time) time.Duration {
-	moved := now.UnixNano() - s.start.UnixNano() - int64(now.Sub(s.start))
-	if time.Duration(moved-s.moved.Load()).Abs() > apart {
-		s.look(moved)
+// suspendedAt returns the total suspension time as of now, which must have just been read.
+func (s *suspensionTracker) suspendedAt(now time.Time) time.Duration {
+	drift := now.UnixNano() - s.start.UnixNano() - int64(now.Sub(s.start))
+	if time.Duration(drift-s.drift.Load()).Abs() > driftThreshold {
+		s.update(drift)
 	}
 	return time.Duration(s.total.Load())
 }
 
-// look reads the boot clock. What it says never goes back.
-func (s *suspended) look(moved int64) {
+// update reads CLOCK_BOOTTIME and stores the new total. The total never decreases.
+func (s *suspensionTracker) update(drift int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	steady, boot, ok := s.read()
+	monotonic, boot, ok := s.read()
 	if !ok {
-		// The next look at the time tries again.
+		// The next call of suspendedAt tries again.
 		return
 	}
-	if total := int64(boot - steady - s.first); total > s.total.Load()+int64(readWithin) {
+	if total := int64(boot - monotonic - s.initialOffset); total > s.total.Load()+int64(maxReadTime) {
 		s.total.Store(total)
 	}
-	s.moved.Store(moved)
+	s.drift.Store(drift)
 }
 
-// readClocks reads the steady clock and the boot clock as of one moment.
-func readClocks() (steady, boot time.Duration, ok bool) {
-	for range readTries {
+// readClocks reads CLOCK_MONOTONIC and CLOCK_BOOTTIME as of the same moment. ok is false if a clock
+// can't be read or every attempt took longer than maxReadTime.
+func readClocks() (monotonic, boot time.Duration, ok bool) {
+	for range maxReadAttempts {
 		var before, between, after unix.Timespec
 		if unix.ClockGettime(unix.CLOCK_MONOTONIC, &before) != nil ||
 			unix.ClockGettime(unix.CLOCK_BOOTTIME, &between) != nil ||
 			unix.ClockGettime(unix.CLOCK_MONOTONIC, &after) != nil {
 			return 0, 0, false
 		}
-		if took := after.Nano() - before.Nano(); took <= int64(readWithin) {
+		if took := after.Nano() - before.Nano(); took <= int64(maxReadTime) {
 			return time.Duration(before.Nano() + took/2), time.Duration(between.Nano()), true
 		}
 	}
 	return 0, 0, false
 }
 
-// Suspended returns for how long the machine was suspended since the process began.
-func Suspended() time.Duration { return suspension.by(time.Now()) }
+// Suspended returns the total time for which the machine has been suspended since the process
+// started.
+func Suspended() time.Duration { return tracker.suspendedAt(time.Now()) }
 
-// steadyNow returns the time, whose differences count what the machine was suspended for.
-func steadyNow() time.Time {
+// suspendAwareNow returns the current time. Differences between its results include suspensions.
+func suspendAwareNow() time.Time {
 	now := time.Now()
-	return now.Add(suspension.by(now))
+	return now.Add(tracker.suspendedAt(now))
 }
 
-// Until returns the time from now to t.
+// Until returns the time remaining until t.
 func Until(t time.Time) time.Duration { return t.Sub(Now()) }
--- a/internal/clock/suspend_test.go
+++ b/internal/clock/suspend_test.go
@@ -9,72 +9,72 @@
 	. "github.com/onsi/gomega"
 )
 
-// fakeClocks are a steady clock and a boot clock that tests move.
+// fakeClocks simulates the monotonic clock and the boot clock. Reads fail while failing is set.
 type fakeClocks struct {
-	steady, boot time.Duration
-	bad          bool
-	reads        int
+	monotonic, boot time.Duration
+	failing         bool
+	reads           int
 }
 
-func (f *fakeClocks) read() (steady, boot time.Duration, ok bool) {
+func (f *fakeClocks) read() (monotonic, boot time.Duration, ok bool) {
 	f.reads++
-	return f.steady, f.boot, !f.bad
+	return f.monotonic, f.boot, !f.failing
 }
 
-// pass lets time pass on both clocks, and sleep on the boot clock alone.
-func (f *fakeClocks) pass(d time.Duration)  { f.steady, f.boot = f.steady+d, f.boot+d }
-func (f *fakeClocks) sleep(d time.Duration) { f.boot += d }
+// advance moves both clocks forward; suspend moves the boot clock alone.
+func (f *fakeClocks) advance(d time.Duration) { f.monotonic, f.boot = f.monotonic+d, f.boot+d }
+func (f *fakeClocks) suspend(d time.Duration) { f.boot += d }
 
-// later returns a reading of the time so long after the start by the steady clock, with the time
-// of day moved further by some.
-func (s *suspended) later(steady, moved time.Duration) time.Time {
-	// Without its steady part a time is compared by the time of day, so that both are
-	// changed together and the start is moved back instead.
-	t := s.start.Add(steady)
-	s.moved.Add(-int64(moved))
+// readingAfter returns the reading of time.Now at monotonic after the start, with the
+// time of day drifted by a further drift.
+func (s *suspensionTracker) readingAfter(monotonic, drift time.Duration) time.Time {
+	// A time.Time without a monotonic reading is compared by its time of day, so the two parts
+	// can't be set apart. Lowering the stored drift instead has the same effect.
+	t := s.start.Add(monotonic)
+	s.drift.Add(-int64(drift))
 	return t
 }
 
 func TestSuspensionCounts(t *testing.T) {
 	g := NewWithT(t)
-	f := &fakeClocks{steady: time.Hour, boot: 3 * time.Hour}
-	s := newSuspended(f.read)
-	f.pass(time.Second)
-	g.Expect(s.by(s.later(time.Second, 0))).To(BeZero())
-	g.Expect(f.reads).To(Equal(1), "nothing moved apart, nothing was read")
-	f.sleep(3 * time.Second)
-	g.Expect(s.by(s.later(time.Second, 3*time.Second))).To(Equal(3 * time.Second))
-	f.sleep(30 * time.Second)
-	g.Expect(s.by(s.later(time.Second, 30*time.Second))).To(Equal(33 * time.Second))
+	f := &fakeClocks{monotonic: time.Hour, boot: 3 * time.Hour}
+	s := newSuspensionTracker(f.read)
+	f.advance(time.Second)
+	g.Expect(s.suspendedAt(s.readingAfter(time.Second, 0))).To(BeZero())
+	g.Expect(f.reads).To(Equal(1), "the boot clock is not read while there is no drift")
+	f.suspend(3 * time.Second)
+	g.Expect(s.suspendedAt(s.readingAfter(time.Second, 3*time.Second))).To(Equal(3 * time.Second))
+	f.suspend(30 * time.Second)
+	g.Expect(s.suspendedAt(s.readingAfter(time.Second, 30*time.Second))).To(Equal(33 * time.Second))
 }
 
-func TestStepOfTheTimeOfDayIsNoSuspension(t *testing.T) {
+func TestStepOfTheTimeOfDayIsNotASuspension(t *testing.T) {
 	g := NewWithT(t)
 	f := &fakeClocks{}
-	s := newSuspended(f.read)
+	s := newSuspensionTracker(f.read)
 	for _, step := range []time.Duration{2 * time.Second, -2 * time.Second} {
-		f.pass(time.Second)
-		g.Expect(s.by(s.later(time.Second, step))).To(BeZero())
+		f.advance(time.Second)
+		g.Expect(s.suspendedAt(s.readingAfter(time.Second, step))).To(BeZero())
 	}
 }
 
 func TestSuspensionCountsOnceTheClocksCanBeRead(t *testing.T) {
 	g := NewWithT(t)
 	f := &fakeClocks{}
-	s := newSuspended(f.read)
-	f.sleep(time.Second)
-	f.bad = true
-	now := s.later(time.Second, time.Second)
-	g.Expect(s.by(now)).To(BeZero())
-	f.bad = false
-	g.Expect(s.by(now)).To(Equal(time.Second))
+	s := newSuspensionTracker(f.read)
+	f.suspend(time.Second)
+	f.failing = true
+	now := s.readingAfter(time.Second, time.Second)
+	g.Expect(s.suspendedAt(now)).To(BeZero())
+	f.failing = false
+	g.Expect(s.suspendedAt(now)).To(Equal(time.Second))
 }
 
-func TestSystemsClocksAreReadTogether(t *testing.T) {
+func TestSystemClocksAreReadTogether(t *testing.T) {
 	g := NewWithT(t)
-	steady, boot, ok := readClocks()
+	monotonic, boot, ok := readClocks()
 	g.Expect(ok).To(BeTrue())
-	g.Expect(boot).To(BeNumerically(">=", steady-time.Millisecond))
+	g.Expect(boot).To(BeNumerically(">=", monotonic-time.Millisecond))
 	a := Now()
 	time.Sleep(20 * time.Millisecond)
 	g.Expect(Since(a)).To(BeNumerically("~", 20*time.Millisecond, 100*time.Millisecond))
