--- a/internal/fault/doc.go
+++ b/internal/fault/doc.go
@@ -1,10 +1,10 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package fault names the points at which tests bring failures about.
+// Package fault defines the points at which tests inject failures.
 //
-// In the shipped binary At and Link are empty functions that the compiler
-// removes. A binary built with the tag "faults" looks a table up at each: a
-// point may hold the step up, end the process, or fail; a link may be cut, slow,
-// or lose what comes back; the clock may run fast or slow. Tests change the
-// table over HTTP; see Handler.
+// In the released binary At, AtTask, Link and Reply are empty functions that the compiler
+// inlines away. A binary built with the tag "faults" looks up each call in a table of rules:
+// a rule on a point delays the step, stops or ends the process; a rule on a link delays it,
+// cuts it or drops the replies; and the clock can run at another rate. Tests set the rules
+// over HTTP; see Handler.
 package fault
--- a/internal/fault/off.go
+++ b/internal/fault/off.go
@@ -6,17 +6,17 @@
 
 import "net/http"
 
-// At is a step of the program at which tests may bring a failure about.
+// At marks a step of the program at which tests can inject a failure.
 func At(Point) {}
 
-// AtTask is At for a step of one task: a rule may name its worker and its shop.
+// AtTask is like At, for a step of one task: a rule may be limited to the task's worker and shop.
 func AtTask(p Point, worker, shop string) {}
 
-// Link returns an error if tests have cut the link to an address.
+// Link returns an error if a test has cut the link to addr.
 func Link(string) error { return nil }
 
-// Reply returns an error if tests lose what comes back from an address.
+// Reply returns an error if a test drops the replies from addr.
 func Reply(string) error { return nil }
 
-// Handler changes the table of faults; there is none in this binary.
+// Handler returns the handler that sets the fault rules, which is nil in this binary.
 func Handler() http.Handler { return nil }
--- a/internal/fault/on.go
+++ b/internal/fault/on.go
@@ -22,82 +22,84 @@
 	rules []Rule
 }
 
+// exitCode is the exit code of a process that a rule ends.
 const exitCode = 86
 
-// At is a step of the program at which tests may bring a failure about.
+// At marks a step of the program at which tests can inject a failure.
 func At(p Point) { AtTask(p, "", "") }
 
-// AtTask is At for a step of one task: a rule may name its worker and its shop.
+// AtTask is like At, for a step of one task: a rule may be limited to the task's worker and shop.
 func AtTask(p Point, worker, shop string) {
-	meant := func(r *Rule) bool {
+	matches := func(r *Rule) bool {
 		return r.Point == p && strings.HasPrefix(worker, r.Worker) && (r.Shop == "" || r.Shop == shop)
 	}
-	if r, ok := match(meant); ok {
+	if r, ok := takeRule(matches); ok {
 		apply(r)
 	}
 }
 
-// Link returns an error if tests have cut the link to an address.
+// Link returns an error if a test has cut the link to addr.
 func Link(addr string) error {
-	r, ok := match(func(r *Rule) bool { return r.Addr != "" && strings.Contains(addr, r.Addr) })
+	r, ok := takeRule(func(r *Rule) bool { return r.Addr != "" && strings.Contains(addr, r.Addr) })
 	if !ok {
 		return nil
 	}
 	apply(r)
 	if r.Cut {
-		return kind.New(kind.Unavailable, "the link to "+addr+" is cut by a test")
+		return kind.New(kind.Unavailable, "the link to "+addr+" was cut by a test")
 	}
 	return nil
 }
 
-// Reply returns an error if tests lose what comes back from an address.
+// Reply returns an error if a test drops the replies from addr.
 func Reply(addr string) error {
-	r, ok := match(func(r *Rule) bool { return r.Deaf && strings.Contains(addr, r.Addr) })
+	r, ok := takeRule(func(r *Rule) bool { return r.Deaf && strings.Contains(addr, r.Addr) })
 	if !ok || r.Addr == "" {
 		return nil
 	}
-	return kind.New(kind.Lost, "the answer of "+addr+" is lost by a test")
+	return kind.New(kind.Lost, "the reply from "+addr+" was dropped by a test")
 }
 
-// match finds the rule and counts its uses: a rule on a point is used once.
-func match(f func(*Rule) bool) (Rule, bool) {
+// takeRule returns the first rule that matches. While that rule still has matches to skip, it
+// counts one down and returns false. A rule on a point is removed, so that it applies once.
+func takeRule(matches func(*Rule) bool) (Rule, bool) {
 	table.mu.Lock()
 	defer table.mu.Unlock()
 	for i := range table.rules {
 		r := &table.rules[i]
-		if !f(r) {
+		if !matches(r) {
 			continue
 		}
 		if r.Skip > 0 {
 			r.Skip--
 			return Rule{}, false
 		}
-		hit := *r
+		matched := *r
 		if r.Point != "" {
 			table.rules = append(table.rules[:i], table.rules[i+1:]...)
 		}
-		return hit, true
+		return matched, true
 	}
 	return Rule{}, false
 }
 
-const stopTakes = 100 * time.Millisecond
+// stopDelay is how long a thread waits for a SIGSTOP that its process has sent to itself. The signal
+// may arrive shortly after kill returns, and the step must not continue before that.
+const stopDelay = 100 * time.Millisecond
 
 func apply(r Rule) {
 	time.Sleep(time.Duration(r.DelayMS) * time.Millisecond)
 	if r.Stop {
 		_ = syscall.Kill(os.Getpid(), syscall.SIGSTOP)
-		// The signal may reach this thread a moment after the call returns; the
-		// step must not go on before it.
-		time.Sleep(stopTakes)
+		time.Sleep(stopDelay)
 	}
 	if r.Exit {
 		os.Exit(exitCode)
 	}
 }
 
-// rate returns the speed of the clock that the rules ask for.
-func rate(rules []Rule) float64 {
+// clockRate returns the rate of the clock that the rules set, 1 if they set none.
+func clockRate(rules []Rule) float64 {
 	for _, r := range rules {
 		if r.Rate > 0 {
 			return r.Rate
@@ -106,8 +108,7 @@
 	return 1
 }
 
-// Handler changes the table of faults: PUT replaces it, GET returns the rules
-// that are left.
+// Handler returns the handler of the fault rules: PUT replaces them, GET returns those that are left.
 func Handler() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.Method == http.MethodGet {
@@ -124,6 +125,6 @@
 		table.mu.Lock()
 		defer table.mu.Unlock()
 		table.rules = rules
-		clock.SetRate(rate(rules))
+		clock.SetRate(clockRate(rules))
 	})
 }
--- a/internal/fault/point.go
+++ b/internal/fault/point.go
@@ -2,10 +2,10 @@
 
 package fault
 
-// Point is a step of the program.
+// Point names a step of the program.
 type Point string
 
-// The points.
+// The steps at which a failure can be injected.
 const (
 	Admitted      Point = "admitted"
 	IntentWritten Point = "intent-written"
@@ -26,7 +26,7 @@
 	EditInstalled Point = "edit-installed"
 )
 
-// Points lists every point.
+// Points lists all points.
 var Points = []Point{
 	Admitted, IntentWritten, Placed, Sent, Accepted, Running, Checkpointed,
 	Finished, Answering, LeaseTaken, Attached, Renewed, HandedOver,
--- a/internal/fault/rule.go
+++ b/internal/fault/rule.go
@@ -2,29 +2,29 @@
 
 package fault
 
-// Rule is what befalls a point or a link.
+// Rule describes a failure at a point or on links, or the rate of the clock.
 type Rule struct {
-	// Point is the point, or "" for a rule on links.
+	// Point is the step at which the rule applies, "" for a rule on links or on the clock.
 	Point Point `json:"point,omitempty"`
-	// Worker is the start of the names of the workers, and Shop the shop, to
-	// whose tasks a rule on a point is kept; "" is any.
+	// Worker and Shop limit a rule on a point to tasks of workers whose names start with
+	// Worker, and to tasks of that shop. "" matches all.
 	Worker string `json:"worker,omitempty"`
 	Shop   string `json:"shop,omitempty"`
-	// Addr is the start of the addresses of the links, for a rule on links.
+	// Addr selects the links of a rule on links: those whose addresses contain it.
 	Addr string `json:"addr,omitempty"`
-	// Skip lets the point pass so many times first.
+	// Skip is how many matches are ignored before the rule applies.
 	Skip int `json:"skip,omitempty"`
-	// DelayMS holds the step up.
+	// DelayMS delays the step or the use of the link.
 	DelayMS int64 `json:"delay_ms,omitempty"`
 	// Exit ends the process at once.
 	Exit bool `json:"exit,omitempty"`
-	// Stop stops the process as SIGSTOP does; whoever set the rule lets it
-	// carry on.
+	// Stop suspends the process with SIGSTOP; the test that set the rule has to resume it.
 	Stop bool `json:"stop,omitempty"`
-	// Cut fails the link.
+	// Cut makes every use of the link fail.
 	Cut bool `json:"cut,omitempty"`
-	// Deaf loses what comes back over the link; what is sent arrives.
+	// Deaf drops the replies on the link; requests still arrive.
 	Deaf bool `json:"deaf,omitempty"`
-	// Rate is the speed of this process's clock, for a rule of its own.
+	// Rate sets the rate of this process's clock, where 1 is the machine's own. It stands in a
+	// rule without a point and an address.
 	Rate float64 `json:"rate,omitempty"`
 }
