--- a/internal/drain/drain_test.go
+++ b/internal/drain/drain_test.go
@@ -27,12 +27,12 @@
 
 const request = "GET / HTTP/1.1\r\nHost: a\r\n\r\n"
 
-var _ = Describe("a server that stops", func() {
-	It("answers a request that is written to an idle connection, and closes then", func(ctx context.Context) {
-		var conns Conns
-		leaving := false
-		s := &http.Server{ConnState: conns.Note, Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-			if leaving {
+var _ = Describe("a server that is draining", func() {
+	It("answers a request that is written to an idle connection, then closes the connection", func(ctx context.Context) {
+		var conns ConnTracker
+		draining := false
+		s := &http.Server{ConnState: conns.ConnState, Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+			if draining {
 				w.Header().Set("Connection", "close")
 			}
 		})}
@@ -43,89 +43,90 @@
 		Expect(err).NotTo(HaveOccurred())
 		defer c.Close()
 		reader := bufio.NewReader(c)
-		ask := func() (*http.Response, error) {
+		roundTrip := func() (*http.Response, error) {
 			fmt.Fprint(c, request)
 			return http.ReadResponse(reader, nil)
 		}
-		_, err = ask()
+		_, err = roundTrip()
 		Expect(err).NotTo(HaveOccurred())
-		leaving = true
+		draining = true
 		Expect(l.Close()).To(Succeed())
-		gone := make(chan struct{})
-		go func() { conns.Wait(ctx); close(gone) }()
-		Consistently(gone, 200*time.Millisecond).ShouldNot(BeClosed())
-		resp, err := ask()
-		Expect(err).NotTo(HaveOccurred(), "the request was cut")
+		closed := make(chan struct{})
+		go func() { conns.Wait(ctx); close(closed) }()
+		Consistently(closed, 200*time.Millisecond).ShouldNot(BeClosed())
+		resp, err := roundTrip()
+		Expect(err).NotTo(HaveOccurred(), "the request was not answered")
 		Expect(resp.Close).To(BeTrue())
-		Eventually(gone).Should(BeClosed())
+		Eventually(closed).Should(BeClosed())
 	})
 })
 
-// stopping is a server in the test, whose handler asks callers to close once it leaves.
-type stopping struct {
+// testServer is a Server whose handler asks callers to close their connections while it is draining.
+type testServer struct {
 	*Server
-	leaving atomic.Bool
-	// taking and reading delay the server in taking a connection and in its first
-	// read from it, as a machine does that has no time for it.
-	taking, reading time.Duration
-	// work is how long a request takes.
-	work time.Duration
+	draining atomic.Bool
+	// acceptDelay and readDelay delay accepting a connection and the first read from it, as
+	// happens on an overloaded machine.
+	acceptDelay, readDelay time.Duration
+	// handleTime is how long a request takes.
+	handleTime time.Duration
 }
 
-// pausing is a listener with the server's delays.
-type pausing struct {
+// delayedListener accepts connections with the delays of its server.
+type delayedListener struct {
 	net.Listener
-	s *stopping
+	s *testServer
 }
 
-func (p pausing) Accept() (net.Conn, error) {
+func (p delayedListener) Accept() (net.Conn, error) {
 	c, err := p.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	time.Sleep(p.s.taking)
-	return &pausingConn{TCPConn: c.(*net.TCPConn), pause: p.s.reading}, nil
+	time.Sleep(p.s.acceptDelay)
+	return &delayedConn{TCPConn: c.(*net.TCPConn), delay: p.s.readDelay}, nil
 }
 
-type pausingConn struct {
+type delayedConn struct {
 	*net.TCPConn
 	first sync.Once
-	pause time.Duration
+	delay time.Duration
 }
 
-func (c *pausingConn) Read(b []byte) (int, error) {
-	c.first.Do(func() { time.Sleep(c.pause) })
+func (c *delayedConn) Read(b []byte) (int, error) {
+	c.first.Do(func() { time.Sleep(c.delay) })
 	return c.TCPConn.Read(b)
 }
 
-func (s *stopping) start() {
+func (s *testServer) start() {
 	GinkgoHelper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	Expect(err).NotTo(HaveOccurred())
 	s.Server = New(&http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		if s.leaving.Load() {
+		if s.draining.Load() {
 			w.Header().Set("Connection", "close")
 		}
-		time.Sleep(s.work)
-	})}, pausing{l, s})
+		time.Sleep(s.handleTime)
+	})}, delayedListener{l, s})
 	go func() { _ = s.Serve() }()
 }
 
-// stop stops the server with an end of patience and a limit, and returns what it says.
-func (s *stopping) stop(patience, limit time.Duration) chan error {
-	s.leaving.Store(true)
+// stop starts to stop the server, with grace and limit counted from now, and returns a channel
+// that receives the result of Stop.
+func (s *testServer) stop(grace, limit time.Duration) chan error {
+	s.draining.Store(true)
 	done := make(chan error, 1)
 	go func() {
-		p, end := context.WithTimeout(context.Background(), patience)
-		defer end()
-		l, end := context.WithTimeout(context.Background(), limit)
-		defer end()
-		done <- s.Stop(p, l)
+		graceCtx, cancel := context.WithTimeout(context.Background(), grace)
+		defer cancel()
+		limitCtx, cancel := context.WithTimeout(context.Background(), limit)
+		defer cancel()
+		done <- s.Stop(graceCtx, limitCtx)
 	}()
 	return done
 }
 
-func (s *stopping) dial() (net.Conn, *bufio.Reader) {
+func (s *testServer) dial() (net.Conn, *bufio.Reader) {
 	GinkgoHelper()
 	c, err := net.Dial("tcp", s.Addr().String())
 	Expect(err).NotTo(HaveOccurred())
@@ -133,34 +134,34 @@
 	return c, bufio.NewReader(c)
 }
 
-var _ = Describe("the stop of a server", func() {
-	It("answers what was written on a connection that it has not taken yet, without any patience", func() {
-		s := &stopping{taking: 300 * time.Millisecond}
+var _ = Describe("stopping a server", func() {
+	It("answers a request on a connection that is not accepted yet, even without a grace period", func() {
+		s := &testServer{acceptDelay: 300 * time.Millisecond}
 		s.start()
 		c, reader := s.dial()
 		fmt.Fprint(c, request)
 		time.Sleep(50 * time.Millisecond)
 		done := s.stop(0, 2*time.Second)
 		resp, err := http.ReadResponse(reader, nil)
-		Expect(err).NotTo(HaveOccurred(), "the request was cut")
+		Expect(err).NotTo(HaveOccurred(), "the request was not answered")
 		Expect(resp.Close).To(BeTrue())
 		Eventually(done).Should(Receive(BeNil()))
 	})
 
-	It("answers a request that has arrived and is not read yet when patience ends", func() {
-		s := &stopping{reading: 300 * time.Millisecond}
+	It("answers a request that has arrived but is not read yet when the grace period ends", func() {
+		s := &testServer{readDelay: 300 * time.Millisecond}
 		s.start()
 		c, reader := s.dial()
 		fmt.Fprint(c, request)
 		time.Sleep(50 * time.Millisecond)
 		done := s.stop(50*time.Millisecond, 2*time.Second)
 		_, err := http.ReadResponse(reader, nil)
-		Expect(err).NotTo(HaveOccurred(), "the request was cut")
+		Expect(err).NotTo(HaveOccurred(), "the request was not answered")
 		Eventually(done).Should(Receive(BeNil()))
 	})
 
-	It("closes idle connections when patience ends, and finishes a request under way", func() {
-		s := &stopping{work: 500 * time.Millisecond}
+	It("closes idle connections when the grace period ends, and finishes a request in progress", func() {
+		s := &testServer{handleTime: 500 * time.Millisecond}
 		s.start()
 		idle, _ := s.dial()
 		c, reader := s.dial()
@@ -171,17 +172,17 @@
 		_, err := idle.Read(make([]byte, 1))
 		Expect(err).To(MatchError(io.EOF))
 		_, err = http.ReadResponse(reader, nil)
-		Expect(err).NotTo(HaveOccurred(), "the request was cut")
+		Expect(err).NotTo(HaveOccurred(), "the request was not answered")
 		Eventually(done).Should(Receive(BeNil()))
 	})
 
-	It("closes a connection that becomes idle after patience has ended", func() {
-		s := &stopping{work: 300 * time.Millisecond}
+	It("closes a connection that becomes idle after the grace period", func() {
+		s := &testServer{handleTime: 300 * time.Millisecond}
 		s.start()
 		c, reader := s.dial()
 		fmt.Fprint(c, request)
 		time.Sleep(50 * time.Millisecond)
-		// It was asked for before the stop began, so its answer does not say close.
+		// The request was sent before the stop began, so the response has no Connection: close.
 		done := s.stop(100*time.Millisecond, 5*time.Second)
 		resp, err := http.ReadResponse(reader, nil)
 		Expect(err).NotTo(HaveOccurred())
@@ -189,8 +190,8 @@
 		Eventually(done).Should(Receive(BeNil()))
 	})
 
-	It("cuts what is under way at the limit, and says so", func() {
-		s := &stopping{work: 2 * time.Second}
+	It("closes connections in use at the limit, and reports that", func() {
+		s := &testServer{handleTime: 2 * time.Second}
 		s.start()
 		c, _ := s.dial()
 		fmt.Fprint(c, request)
@@ -199,8 +200,8 @@
 	})
 })
 
-var _ = Describe("connections that a listener has not taken", func() {
-	It("are counted, and taken before it is closed", func() {
+var _ = Describe("connections that a listener has not accepted", func() {
+	It("are counted, and are accepted before the listener is closed", func() {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(sock.Waiting(l)).To(BeZero())
@@ -214,7 +215,7 @@
 		defer end()
 		done := make(chan error, 1)
 		go func() { done <- s.Stop(ctx, ctx) }()
-		time.Sleep(acceptLimit / 4)
+		time.Sleep(acceptTimeout / 4)
 		go func() { _ = s.Serve() }()
 		_, err = http.ReadResponse(bufio.NewReader(c), nil)
 		Expect(err).NotTo(HaveOccurred(), "the connection was reset")
