--- a/internal/hangup/early_cgo.go
+++ b/internal/hangup/early_cgo.go
@@ -4,8 +4,8 @@
 
 package hangup
 
-// The dynamic linker runs this before the runtime begins. The runtime leaves a signal ignored that
-// it finds so, until init asks for it.
+// The dynamic linker runs this constructor before the Go runtime starts. The runtime leaves a signal
+// that it finds ignored as it is, until init calls signal.Notify.
 
 /*
 #include <signal.h>
--- a/internal/hangup/hangup.go
+++ b/internal/hangup/hangup.go
@@ -1,10 +1,11 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package hangup keeps SIGHUP from ending a process that has not come as far as catching it.
+// Package hangup keeps SIGHUP from ending a process that does not handle it yet.
 //
-// All packages are initialised before main runs, which takes a while, and longer on a busy machine.
-// This one needs nothing but signals, so that it comes before nearly all others. Where there is a C
-// compiler the signal is ignored from before the runtime begins. Import it for its effect from main.
+// All packages are initialised before main runs, which takes longer on a busy machine. This package
+// imports only what it needs for signals, so that it is initialised before nearly all others. In
+// builds with cgo the signal is ignored even before the Go runtime starts. Import the package from
+// main for its side effect.
 package hangup
 
 import (
@@ -13,6 +14,6 @@
 	"syscall"
 )
 
-// A hangup ends a process that catches none. One that comes while the settings are still being
-// read, or during a planned stop, when nobody waits for it any more, must not.
+// SIGHUP ends a process that does not handle it. It must not do so while the settings are still being
+// read, nor during a planned stop, when nothing receives the signal any more.
 func init() { signal.Notify(make(chan os.Signal, 1), syscall.SIGHUP) }
--- a/internal/hangup/hangup_test.go
+++ b/internal/hangup/hangup_test.go
@@ -14,10 +14,10 @@
 	. "github.com/onsi/gomega"
 )
 
-// own is the path under which the runtime tells of this package.
-const own = "dewpass.org/internal/hangup"
+// packagePath is the path of this package in the runtime's trace of initialisations.
+const packagePath = "dewpass.org/internal/hangup"
 
-func TestHangupIsCaughtAsSoonAsSignalsCanBe(t *testing.T) {
+func TestHangupIsHandledRightAfterSignalsAreInitialised(t *testing.T) {
 	g := NewWithT(t)
 	binary := filepath.Join(t.TempDir(), "dewpass")
 	out, err := exec.Command("go", "build", "-o", binary, "dewpass.org/cmd/dewpass").CombinedOutput()
@@ -31,7 +31,7 @@
 	for _, m := range regexp.MustCompile(`(?m)^init (\S+) @`).FindAllStringSubmatch(trace.String(), -1) {
 		order = append(order, m[1])
 	}
-	at := slices.Index(order, own)
+	at := slices.Index(order, packagePath)
 	g.Expect(at).To(BeNumerically(">", 0))
-	g.Expect(order[at-1]).To(Equal("os/signal"), "nothing comes between what it needs and itself")
+	g.Expect(order[at-1]).To(Equal("os/signal"), "no package is initialised between os/signal and this one")
 }
--- a/internal/logq/logq.go
+++ b/internal/logq/logq.go
@@ -1,11 +1,11 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package logq writes log lines without ever holding up who logs.
+// Package logq writes log lines without blocking the caller.
 //
-// Lines wait in a bounded queue for an output that may be slow or read by
-// nobody. When the queue is nearly full, lines are dropped and counted; the room
-// that is left then is for last words, the lines that say what became of a
-// request. When there is room again, one line says how many were dropped.
+// Lines wait in a bounded queue for an output that may be slow or not read at all.
+// When the queue is nearly full, lines are dropped and counted; the remaining
+// capacity is reserved for final lines, which record the outcome of a request. Once
+// there is room again, one line reports how many were dropped.
 package logq
 
 import (
@@ -18,41 +18,41 @@
 )
 
 const (
-	// Size is how many lines wait at most.
-	Size = 2048
-	// reserve is how many of them only last words may take.
-	reserve = Size / 4
-	// flushTime bounds the wait for the output at the end.
-	flushTime = 500 * time.Millisecond
+	// Capacity is the maximum number of queued lines.
+	Capacity = 2048
+	// reservedLines is how many of them are reserved for final lines.
+	reservedLines = Capacity / 4
+	// flushTimeout bounds how long Close waits for the output.
+	flushTimeout = 500 * time.Millisecond
 )
 
-// LastWord marks a line that says what became of a request: its key and value
-// as they stand in the line.
-var LastWord = []byte(`"last":true`)
+// FinalMarker marks a line that records the outcome of a request: the key and value
+// as they are encoded in the line.
+var FinalMarker = []byte(`"last":true`)
 
-// Writer is a queue in front of an output. Make one with New.
+// Writer is a queue in front of an output. Use New to create one.
 type Writer struct {
-	out     io.Writer
-	drop    func()
-	lines   chan []byte
-	dropped atomic.Uint64
-	told    uint64
-	stop    chan struct{}
-	done    chan struct{}
-	once    sync.Once
+	out      io.Writer
+	onDrop   func()
+	lines    chan []byte
+	dropped  atomic.Uint64
+	reported uint64
+	stop     chan struct{}
+	done     chan struct{}
+	stopOnce sync.Once
 }
 
-// New returns a Writer whose lines go to out until Close. For each line that is
-// dropped it calls drop, which must not wait.
-func New(out io.Writer, drop func()) *Writer {
-	w := &Writer{out: out, drop: drop, lines: make(chan []byte, Size), stop: make(chan struct{}), done: make(chan struct{})}
+// New returns a Writer that writes lines to out until Close. It calls onDrop for
+// each line that is dropped; onDrop must not block.
+func New(out io.Writer, onDrop func()) *Writer {
+	w := &Writer{out: out, onDrop: onDrop, lines: make(chan []byte, Capacity), stop: make(chan struct{}), done: make(chan struct{})}
 	go w.run()
 	return w
 }
 
-// Write takes one line, or drops it. It never waits and never fails.
+// Write queues one line, or drops it if the queue is full. It never blocks or fails.
 func (w *Writer) Write(line []byte) (int, error) {
-	if len(w.lines) >= Size-reserve && !bytes.Contains(line, LastWord) {
+	if len(w.lines) >= Capacity-reservedLines && !bytes.Contains(line, FinalMarker) {
 		w.dropLine()
 		return len(line), nil
 	}
@@ -66,15 +66,15 @@
 
 func (w *Writer) dropLine() {
 	w.dropped.Add(1)
-	w.drop()
+	w.onDrop()
 }
 
-// Close writes what waits, for a while. What is written after it is lost.
+// Close writes the queued lines, for at most flushTimeout. Lines written later are lost.
 func (w *Writer) Close() {
-	w.once.Do(func() { close(w.stop) })
+	w.stopOnce.Do(func() { close(w.stop) })
 	select {
 	case <-w.done:
-	case <-time.After(flushTime):
+	case <-time.After(flushTimeout):
 	}
 }
 
@@ -83,7 +83,7 @@
 	for {
 		select {
 		case line := <-w.lines:
-			w.put(line)
+			w.writeLine(line)
 		case <-w.stop:
 			w.flush()
 			return
@@ -91,31 +91,33 @@
 	}
 }
 
-// flush writes what waits.
+// flush writes the queued lines.
 func (w *Writer) flush() {
 	for {
 		select {
 		case line := <-w.lines:
-			w.put(line)
+			w.writeLine(line)
 		default:
 			return
 		}
 	}
 }
 
-// put writes a line. An output that fails has nobody to be told.
-func (w *Writer) put(line []byte) {
+// writeLine writes a line. Errors of the output are ignored, as there is no other
+// place to report them.
+func (w *Writer) writeLine(line []byte) {
 	_, _ = w.out.Write(line)
-	w.tell()
+	w.reportDropped()
 }
 
-// tell writes how many lines were dropped since it last did, once there is room.
-func (w *Writer) tell() {
+// reportDropped writes how many lines were dropped since the last report, once the
+// queue has room.
+func (w *Writer) reportDropped() {
 	n := w.dropped.Load()
-	if n == w.told || len(w.lines) > reserve {
+	if n == w.reported || len(w.lines) > reservedLines {
 		return
 	}
-	line := []byte(`{"event":"log_dropped","lines":` + strconv.FormatUint(n-w.told, 10) + "}\n")
-	w.told = n
+	line := []byte(`{"event":"log_dropped","lines":` + strconv.FormatUint(n-w.reported, 10) + "}\n")
+	w.reported = n
 	_, _ = w.out.Write(line)
 }
--- a/internal/logq/logq_test.go
+++ b/internal/logq/logq_test.go
@@ -19,38 +19,38 @@
 	RunSpecs(t, "logq")
 }
 
-// gate is an output that takes nothing until it is opened.
-type gate struct {
+// blockedOutput is an output whose writes block until open is closed.
+type blockedOutput struct {
 	open chan struct{}
 	mu   sync.Mutex
 	text strings.Builder
 }
 
-func (g *gate) Write(p []byte) (int, error) {
+func (g *blockedOutput) Write(p []byte) (int, error) {
 	<-g.open
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.text.Write(p)
 }
 
-func (g *gate) String() string {
+func (g *blockedOutput) String() string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.text.String()
 }
 
-var _ = Describe("a log that nobody reads", func() {
-	It("holds nobody up, and keeps last words", func() {
-		g := &gate{open: make(chan struct{})}
+var _ = Describe("a log whose output is not read", func() {
+	It("does not block its callers, and keeps final lines", func() {
+		g := &blockedOutput{open: make(chan struct{})}
 		var dropped atomic.Int64
 		w := New(g, func() { dropped.Add(1) })
 		begun := time.Now()
-		for i := range 10 * Size {
+		for i := range 10 * Capacity {
 			fmt.Fprintf(w, `{"event":"start","n":%d}`+"\n", i)
 		}
 		fmt.Fprint(w, `{"event":"job_ended","last":true}`+"\n")
 		Expect(time.Since(begun)).To(BeNumerically("<", time.Second))
-		Expect(dropped.Load()).To(BeNumerically(">", 8*Size))
+		Expect(dropped.Load()).To(BeNumerically(">", 8*Capacity))
 		close(g.open)
 		Eventually(g.String).Should(ContainSubstring("log_dropped"))
 		Expect(g.String()).To(ContainSubstring("job_ended"))
