--- a/internal/pool/doc.go
+++ b/internal/pool/doc.go
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package pool keeps HTTP connections open, a set for each address, and gives up those to
-// an address together.
+// Package pool keeps HTTP connections open, in a separate set for each address, and closes the
+// idle connections to an address together.
 //
-// Connections may go silent for good without a reset, all those to an address at once. An
-// http.Transport throws away the one on which a call timed out, and uses the next idle one,
-// which is as silent, for the next call.
+// All connections to an address may stop responding at the same time without being reset. An
+// http.Transport discards only the connection on which a call timed out, and uses another idle
+// connection, which doesn't respond either, for the next call.
 package pool
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -13,45 +13,45 @@
 )
 
 const (
-	// silentAfter is how long a call must have been without an answer before its end
-	// tells something of its connection: twice what the store may take before a call
-	// goes by a peer as well. Workers and the store answer in milliseconds.
-	silentAfter = 250 * time.Millisecond
+	// silenceThreshold is how long a call must have been without a response before its timeout
+	// counts against its connection: twice as long as the store may take before a call is also
+	// sent by way of a peer. Workers and the store normally respond within milliseconds.
+	silenceThreshold = 250 * time.Millisecond
 )
 
 // Pool is an http.RoundTripper with a transport for each address, so that the idle
-// connections to one can be closed without those to others. Its methods may be called
-// from several goroutines.
+// connections to one address can be closed without those to others. It is safe for
+// concurrent use.
 type Pool struct {
 	options Options
 
-	mu    sync.Mutex
-	addrs map[string]*address
-	swept time.Time
+	mu        sync.Mutex
+	addrs     map[string]*addrEntry
+	lastSweep time.Time
 }
 
-// Options are the bounds of a Pool.
+// Options configures a Pool.
 type Options struct {
-	// Idle is how many idle connections to an address stay open, and Most how many it
-	// may have, 0 for no bound.
+	// Idle is the maximum number of idle connections to an address, and Most that of all
+	// connections to it, 0 for no limit.
 	Idle, Most int
-	// Dial sets a connection up.
+	// Dial opens a connection.
 	Dial func(ctx context.Context, network, addr string) (net.Conn, error)
-	// Unused is for how long a connection that is not used stays open, and what is kept
-	// of an address.
+	// Unused is how long an unused connection, and the pool's entry for an unused address,
+	// are kept.
 	Unused time.Duration
-	// Buffer is how many bytes a connection has for reading, and for writing.
+	// Buffer is the size in bytes of a connection's read buffer and of its write buffer.
 	Buffer int
 }
 
-// address is what a Pool keeps of an address.
-type address struct {
+// addrEntry is the Pool's state for one address.
+type addrEntry struct {
 	transport *http.Transport
-	used      time.Time
+	lastUsed  time.Time
 }
 
-// New returns a pool.
-func New(o Options) *Pool { return &Pool{options: o, addrs: make(map[string]*address)} }
+// New returns a Pool without connections.
+func New(o Options) *Pool { return &Pool{options: o, addrs: make(map[string]*addrEntry)} }
 
 // RoundTrip implements http.RoundTripper.
 func (p *Pool) RoundTrip(req *http.Request) (*http.Response, error) {
@@ -59,38 +59,38 @@
 	t := p.transport(req.URL.Host, begun)
 	resp, err := t.RoundTrip(req)
 	timedOut := err != nil && errors.Is(context.Cause(req.Context()), context.DeadlineExceeded)
-	if timedOut && time.Since(begun) > silentAfter {
-		// Connections go silent together. Were the idle ones left, each would cost a
-		// call its time: with eight to a worker, more than a lease. A caller that
-		// cancels on purpose says nothing of them.
+	if timedOut && time.Since(begun) > silenceThreshold {
+		// Connections stop responding together. If the idle ones were kept, each would let a
+		// further call time out: with eight to a worker, for longer than a lease. A caller
+		// that cancels on purpose says nothing about the connections.
 		t.CloseIdleConnections()
 	}
 	return resp, err
 }
 
-// transport returns the transport for an address.
+// transport returns the transport for addr.
 func (p *Pool) transport(addr string, now time.Time) *http.Transport {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	a := p.addrs[addr]
 	if a == nil {
-		p.sweep(now)
-		a = &address{transport: newTransport(p.options)}
+		p.evictUnused(now)
+		a = &addrEntry{transport: newTransport(p.options)}
 		p.addrs[addr] = a
 	}
-	a.used = now
+	a.lastUsed = now
 	return a.transport
 }
 
-// sweep forgets addresses that are not used any more: workers come and go. The lock is
-// held.
-func (p *Pool) sweep(now time.Time) {
-	if now.Sub(p.swept) < p.options.Unused {
+// evictUnused removes addresses that have not been used for Options.Unused, as workers come and
+// go. The caller holds p.mu.
+func (p *Pool) evictUnused(now time.Time) {
+	if now.Sub(p.lastSweep) < p.options.Unused {
 		return
 	}
-	p.swept = now
+	p.lastSweep = now
 	for addr, a := range p.addrs {
-		if now.Sub(a.used) > p.options.Unused {
+		if now.Sub(a.lastUsed) > p.options.Unused {
 			a.transport.CloseIdleConnections()
 			delete(p.addrs, addr)
 		}
--- a/internal/pool/pool_test.go
+++ b/internal/pool/pool_test.go
@@ -27,7 +27,7 @@
 	return Options{Idle: idle, Dial: new(net.Dialer).DialContext, Unused: time.Minute}
 }
 
-// call sends a request and reads the whole answer.
+// call sends a request and reads the whole response.
 func call(ctx context.Context, p *Pool, method, addr, path string) error {
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+addr+path, nil)
 	if err != nil {
@@ -46,10 +46,10 @@
 	const (
 		idle  = 4
 		path  = "/"
-		limit = 2 * silentAfter
+		limit = 2 * silenceThreshold
 	)
 	slow := http.HandlerFunc(func(http.ResponseWriter, *http.Request) { time.Sleep(20 * time.Millisecond) })
-	front := func() *mute.Proxy {
+	startProxy := func() *mute.Proxy {
 		server := httptest.NewServer(slow)
 		DeferCleanup(server.CloseClientConnections)
 		m, err := mute.Listen(server.Listener.Addr().String())
@@ -57,7 +57,7 @@
 		DeferCleanup(m.Close)
 		return m
 	}
-	// fill leaves as many idle connections to an address as are kept.
+	// fill opens as many idle connections to addr as the pool keeps.
 	fill := func(ctx context.Context, p *Pool, addr string) {
 		var all sync.WaitGroup
 		for range idle {
@@ -70,10 +70,10 @@
 		all.Wait()
 	}
 
-	// A worker's idle connections went silent together, and each cost a call its time:
-	// with eight of them nothing reached the worker before its lease was over.
-	It("gives up all idle connections to an address once one of them is silent", func(ctx context.Context) {
-		p, silent, other := New(options(idle)), front(), front()
+	// When a worker's idle connections stopped responding together, each let one call time out:
+	// with eight of them, the lease expired before any call reached the worker.
+	It("closes all idle connections to an address once a call on one of them has timed out", func(ctx context.Context) {
+		p, silent, other := New(options(idle)), startProxy(), startProxy()
 		fill(ctx, p, silent.Addr())
 		fill(ctx, p, other.Addr())
 		Expect(silent.Silence()).To(Equal(idle))
@@ -85,11 +85,11 @@
 		defer cancelNext()
 		err = call(next, p, http.MethodGet, silent.Addr(), path)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(other.Silence()).To(Equal(idle), "those to other addresses stay")
+		Expect(other.Silence()).To(Equal(idle), "connections to other addresses are kept")
 	})
 
-	It("keeps idle connections when a call is given up early", func(ctx context.Context) {
-		p, m := New(options(idle)), front()
+	It("keeps idle connections when a call times out early", func(ctx context.Context) {
+		p, m := New(options(idle)), startProxy()
 		fill(ctx, p, m.Addr())
 		short, cancel := context.WithTimeout(ctx, time.Millisecond)
 		defer cancel()
@@ -99,7 +99,7 @@
 		Consistently(m.Open).Should(Equal(idle - 1))
 	})
 
-	It("forgets addresses that are not used any more", func() {
+	It("evicts addresses that are not used any more", func() {
 		p, now := New(options(idle)), time.Now()
 		p.transport(net.JoinHostPort("127.0.0.1", "1"), now)
 		p.transport(net.JoinHostPort("127.0.0.1", "2"), now.Add(2*time.Minute))
@@ -107,8 +107,8 @@
 	})
 })
 
-// A caller that cancels on purpose (a hold that waits, the slower way of a call to the
-// store) says nothing of other connections.
+// A cancellation by the caller (of a hold that waits, or of the slower of two ways to call
+// the store) says nothing about the other connections.
 func TestPoolKeepsIdleConnectionsWhenACallerCancels(t *testing.T) {
 	g := NewWithT(t)
 	server := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
@@ -133,7 +133,7 @@
 	all.Wait()
 	g.Expect(m.Open()).To(Equal(4))
 	ctx, cancel := context.WithCancel(context.Background())
-	time.AfterFunc(2*silentAfter, cancel)
+	time.AfterFunc(2*silenceThreshold, cancel)
 	err = call(ctx, p, http.MethodGet, m.Addr(), "/hold")
 	g.Expect(err).To(HaveOccurred())
 	g.Consistently(m.Open, 500*time.Millisecond).Should(BeNumerically(">=", 3))
