--- a/internal/sock/sock.go
+++ b/internal/sock/sock.go
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package sock sets what every connection of an instance needs.
+// Package sock sets the socket options that every connection of an instance needs.
 package sock
 
 import (
@@ -12,33 +12,33 @@
 	"golang.org/x/sys/unix"
 )
 
-// userTimeout is how long sent bytes may stay without an acknowledgement before
-// a connection is given up. Without it a connection outlives a cut by as long
-// as the kernel's retries take.
+// userTimeout is how long sent data may remain unacknowledged before the kernel closes
+// the connection. Without it a connection to an unreachable peer stays open for as long
+// as the kernel retransmits.
 const userTimeout = 2 * time.Second
 
-// Control is for net.Dialer and net.ListenConfig.
+// Control sets TCP_USER_TIMEOUT on a socket, for net.Dialer and net.ListenConfig.
 func Control(_, _ string, c syscall.RawConn) error {
 	return c.Control(func(fd uintptr) {
-		// A connection without the bound works as well.
+		// The connection works without the option too, so an error is ignored.
 		_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(userTimeout.Milliseconds()))
 	})
 }
 
-// Dialer returns a dialer that gives up after limit.
+// Dialer returns a dialer whose attempts time out after limit.
 func Dialer(limit time.Duration) *net.Dialer {
 	return &net.Dialer{Timeout: limit, KeepAlive: -1, Control: Control}
 }
 
-// Listen listens on a TCP address; what it accepts is bounded like what a
-// Dialer opens.
+// Listen listens on a TCP address. The connections that it accepts have the same
+// options as those of a Dialer.
 func Listen(ctx context.Context, addr string) (net.Listener, error) {
 	lc := net.ListenConfig{KeepAlive: -1, Control: Control}
 	return lc.Listen(ctx, "tcp", addr)
 }
 
-// Waiting returns how many connections a listener has not accepted yet, 0 if it
-// cannot tell.
+// Waiting returns the number of connections in a listener's accept queue, 0 if it
+// is unknown.
 func Waiting(l net.Listener) int {
 	c, ok := l.(syscall.Conn)
 	if !ok {
@@ -49,10 +49,10 @@
 		return 0
 	}
 	waiting := 0
-	// A listener that is closed has none waiting.
+	// Control fails if the listener is closed; its queue is empty then.
 	_ = raw.Control(func(fd uintptr) {
 		if info, err := unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO); err == nil {
-			// For a listener the kernel gives its queue here.
+			// For a listening socket the kernel reports the length of the accept queue here.
 			waiting = int(info.Unacked)
 		}
 	})
