--- a/internal/uid/uid_test.go
+++ b/internal/uid/uid_test.go
@@ -4,12 +4,12 @@
 
 import "testing"
 
-func TestNewDiffers(t *testing.T) {
+func TestNewIsUnique(t *testing.T) {
 	seen := make(map[string]bool)
 	for range 10_000 {
 		s := New()
 		if len(s) != 26 || seen[s] {
-			t.Fatalf("New() = %q: want 26 characters that were not drawn before", s)
+			t.Fatalf("New() = %q: want 26 characters, different from all earlier results", s)
 		}
 		seen[s] = true
 	}
