--- a/internal/genwire/main.go
+++ b/internal/genwire/main.go
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 // Command genwire generates the Go code of a protobuf file without protoc: it compiles the file
-// and hands the result to protoc-gen-go.
+// and passes the descriptor to protoc-gen-go.
 //
 //	genwire PLUGIN FILE
 package main
@@ -31,7 +31,7 @@
 	}
 }
 
-// generate writes the files that a plugin makes of a protobuf file.
+// generate runs a protoc plugin on a protobuf file and writes the files that it generates.
 func generate(plugin, file string) error {
 	compiler := protocompile.Compiler{
 		Resolver:       &protocompile.SourceResolver{ImportPaths: []string{"."}},
@@ -58,16 +58,16 @@
 	return write(out)
 }
 
-// write writes the files of a plugin's answer.
+// write writes the files of a plugin's response.
 func write(out []byte) error {
-	var answer pluginpb.CodeGeneratorResponse
-	if err := proto.Unmarshal(out, &answer); err != nil {
+	var response pluginpb.CodeGeneratorResponse
+	if err := proto.Unmarshal(out, &response); err != nil {
 		return err
 	}
-	if answer.Error != nil {
-		return fmt.Errorf("the plugin says: %s", *answer.Error)
+	if response.Error != nil {
+		return fmt.Errorf("protoc plugin failed: %s", *response.Error)
 	}
-	for _, f := range answer.File {
+	for _, f := range response.File {
 		if err := os.WriteFile(f.GetName(), []byte(f.GetContent()), 0o644); err != nil {
 			return err
 		}
