--- a/internal/rtt/common.go
+++ b/internal/rtt/common.go
@@ -5,67 +5,72 @@
 import "time"
 
 const (
-	// commonSpan is for how long a delay counts; two spans are kept.
-	commonSpan = time.Second
-	// commonPeers is how many peers' answers must be late for the cause to be on this side:
-	// one or two may be slow by themselves.
-	commonPeers = 3
+	// sharedSpan is the length of a measuring span. A delay counts in its own span and the next.
+	sharedSpan = time.Second
+	// minDelayedPeers is how many peers must answer late for the cause to be on this side. One
+	// or two may be slow themselves.
+	minDelayedPeers = 3
 )
 
-// Common follows by how much the answers of several peers are late at the same time: they
-// share nothing but this sender's own link and processor. Its zero value has seen none.
+// Common tracks by how much the answers of several peers are late at the same time. All that
+// these peers have in common is the sender's own link and processor, so a delay of all of
+// them is the sender's. Its zero value is ready for use.
 type Common struct {
-	now, before [commonPeers]late
-	began       time.Time
+	// current and previous hold the peers with the largest delays of the present span and of
+	// the one before it.
+	current, previous [minDelayedPeers]peerDelay
+	spanStart         time.Time
 }
 
-// late is the worst delay of one peer.
-type late struct {
-	peer string
-	by   time.Duration
+// peerDelay is the largest delay of one peer in a span.
+type peerDelay struct {
+	peer  string
+	delay time.Duration
 }
 
-// Saw takes in that an answer of a peer was late.
-func (c *Common) Saw(peer string, by time.Duration, now time.Time) {
-	c.turn(now)
-	at := 0
-	for i := range c.now {
-		if c.now[i].peer == peer {
-			c.now[i].by = max(c.now[i].by, by)
+// Saw records that an answer of a peer was late by a duration.
+func (c *Common) Saw(peer string, delay time.Duration, now time.Time) {
+	c.rotate(now)
+	smallest := 0
+	for i := range c.current {
+		if c.current[i].peer == peer {
+			c.current[i].delay = max(c.current[i].delay, delay)
 			return
 		}
-		if c.now[i].by < c.now[at].by {
-			at = i
+		if c.current[i].delay < c.current[smallest].delay {
+			smallest = i
 		}
 	}
-	if by > c.now[at].by {
-		c.now[at] = late{peer: peer, by: by}
+	if delay > c.current[smallest].delay {
+		c.current[smallest] = peerDelay{peer: peer, delay: delay}
 	}
 }
 
-// By returns how late the answers of several peers have lately been.
+// By returns the delay that the answers of at least minDelayedPeers peers have had within the
+// last two spans, 0 if there are fewer such peers.
 func (c *Common) By(now time.Time) time.Duration {
-	c.turn(now)
-	return max(lowest(&c.now), lowest(&c.before))
+	c.rotate(now)
+	return max(minDelay(&c.current), minDelay(&c.previous))
 }
 
-func lowest(all *[commonPeers]late) time.Duration {
-	by := all[0].by
-	for _, l := range all {
-		by = min(by, l.by)
+// minDelay returns the smallest of the delays. It is 0 if there are fewer than minDelayedPeers.
+func minDelay(delays *[minDelayedPeers]peerDelay) time.Duration {
+	delay := delays[0].delay
+	for _, p := range delays {
+		delay = min(delay, p.delay)
 	}
-	return by
+	return delay
 }
 
-// turn begins a new span when the present one is over.
-func (c *Common) turn(now time.Time) {
-	switch over := now.Sub(c.began); {
-	case over < commonSpan:
+// rotate starts a new span if the present one has ended.
+func (c *Common) rotate(now time.Time) {
+	switch elapsed := now.Sub(c.spanStart); {
+	case elapsed < sharedSpan:
 		return
-	case over < 2*commonSpan:
-		c.before = c.now
+	case elapsed < 2*sharedSpan:
+		c.previous = c.current
 	default:
-		c.before = [commonPeers]late{}
+		c.previous = [minDelayedPeers]peerDelay{}
 	}
-	c.now, c.began = [commonPeers]late{}, now
+	c.current, c.spanStart = [minDelayedPeers]peerDelay{}, now
 }
--- a/internal/rtt/common_test.go
+++ b/internal/rtt/common_test.go
@@ -9,9 +9,9 @@
 	. "github.com/onsi/gomega"
 )
 
-// What happened: a list of 48 KB took 0.2 s of a link of 2 Mbit/s, and the answers of all
-// workers that came behind it were taken for lost after 0.1 s.
-func TestAnswersOfSeveralPeersThatAreLateTogether(t *testing.T) {
+// A list of 48 KB took 0.2 s on a link of 2 Mbit/s. The answers of all workers queued behind it,
+// and were considered lost after 0.1 s.
+func TestCommonDelayNeedsSeveralLatePeers(t *testing.T) {
 	g := NewWithT(t)
 	var c Common
 	now := time.Unix(1000, 0)
@@ -19,13 +19,13 @@
 	c.Saw("a", 200*time.Millisecond, now)
 	c.Saw("b", 150*time.Millisecond, now)
 	c.Saw("b", 900*time.Millisecond, now)
-	g.Expect(c.By(now)).To(BeZero(), "one or two peers may be slow by themselves")
+	g.Expect(c.By(now)).To(BeZero(), "one or two peers may be slow themselves")
 	c.Saw("c", 120*time.Millisecond, now)
 	c.Saw("d", 5*time.Millisecond, now)
 	g.Expect(c.By(now)).To(Equal(120 * time.Millisecond))
-	now = now.Add(commonSpan + time.Millisecond)
+	now = now.Add(sharedSpan + time.Millisecond)
 	c.Saw("a", time.Millisecond, now)
-	g.Expect(c.By(now)).To(Equal(120*time.Millisecond), "a delay counts for a while")
-	g.Expect(c.By(now.Add(commonSpan))).To(BeZero())
+	g.Expect(c.By(now)).To(Equal(120*time.Millisecond), "a delay also counts in the next span")
+	g.Expect(c.By(now.Add(sharedSpan))).To(BeZero())
 	g.Expect(c.By(now.Add(time.Minute))).To(BeZero())
 }
--- a/internal/rtt/rtt.go
+++ b/internal/rtt/rtt.go
@@ -1,31 +1,32 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package rtt follows how long the answers of one peer take, and says how long to wait
-// for the next one before it counts as lost. The estimate is that of TCP's
-// retransmission timer (RFC 6298): a smoothed mean, four times a smoothed deviation, and
-// a wait that doubles with each loss in a row.
+// Package rtt estimates how long a peer takes to answer, and how long to wait for its next
+// answer before it is considered lost. The estimate is that of TCP's retransmission timer
+// (RFC 6298): a smoothed mean plus four times a smoothed deviation, doubled for each
+// consecutive loss.
 package rtt
 
 import "time"
 
 const (
-	// The weights of a new answer in mean and deviation, as divisors (RFC 6298).
+	// The divisors with which a new measurement enters mean and deviation, and the factor of
+	// the deviation in the timeout (RFC 6298).
 	meanWeight      = 8
 	deviationWeight = 4
-	deviations      = 4
-	// doublingsMost keeps a long row of losses from overflowing.
-	doublingsMost = 6
+	deviationFactor = 4
+	// maxDoublings keeps the timeout from overflowing after many consecutive losses.
+	maxDoublings = 6
 )
 
-// Estimate follows the answers of one peer. Its zero value has seen none.
+// Estimate estimates the answer time of one peer. Its zero value is ready for use.
 type Estimate struct {
 	mean, deviation time.Duration
-	lost            int
+	losses          int
 }
 
-// Answered takes in that an answer came.
+// Answered records an answer and how long it took.
 func (e *Estimate) Answered(took time.Duration) {
-	e.lost = 0
+	e.losses = 0
 	if e.mean == 0 {
 		e.mean, e.deviation = took, took/2
 		return
@@ -34,15 +35,15 @@
 	e.mean += (took - e.mean) / meanWeight
 }
 
-// Lost takes in that no answer came in time.
-func (e *Estimate) Lost() { e.lost = min(e.lost+1, doublingsMost) }
+// Lost records that no answer came in time.
+func (e *Estimate) Lost() { e.losses = min(e.losses+1, maxDoublings) }
 
-// Wait returns how long to wait for an answer, between two bounds; twice the least before
-// the first answer, which may need a connection first.
-func (e *Estimate) Wait(least, most time.Duration) time.Duration {
-	wait := max(e.mean+deviations*e.deviation, least)
+// Wait returns how long to wait for the next answer, at least minimum and at most maximum.
+// Before the first answer it is twice the minimum, as a connection may have to be set up.
+func (e *Estimate) Wait(minimum, maximum time.Duration) time.Duration {
+	wait := max(e.mean+deviationFactor*e.deviation, minimum)
 	if e.mean == 0 {
-		wait = 2 * least
+		wait = 2 * minimum
 	}
-	return min(wait<<e.lost, most)
+	return min(wait<<e.losses, maximum)
 }
--- a/internal/rtt/rtt_test.go
+++ b/internal/rtt/rtt_test.go
@@ -10,43 +10,43 @@
 )
 
 const (
-	least = 100 * time.Millisecond
-	most  = 700 * time.Millisecond
+	minTimeout = 100 * time.Millisecond
+	maxTimeout = 700 * time.Millisecond
 )
 
-func TestWaitsLongerBeforeTheFirstAnswer(t *testing.T) {
+func TestFirstWaitIsTwiceTheMinimum(t *testing.T) {
 	g := NewWithT(t)
 	var e Estimate
-	g.Expect(e.Wait(least, most)).To(Equal(2 * least))
+	g.Expect(e.Wait(minTimeout, maxTimeout)).To(Equal(2 * minTimeout))
 	e.Lost()
-	g.Expect(e.Wait(least, most)).To(Equal(4 * least))
+	g.Expect(e.Wait(minTimeout, maxTimeout)).To(Equal(4 * minTimeout))
 }
 
-func TestFollowsAnswers(t *testing.T) {
+func TestWaitFollowsAnswerTimes(t *testing.T) {
 	g := NewWithT(t)
 	var e Estimate
 	for range 50 {
 		e.Answered(4 * time.Millisecond)
 	}
-	g.Expect(e.Wait(least, most)).To(Equal(least))
+	g.Expect(e.Wait(minTimeout, maxTimeout)).To(Equal(minTimeout))
 	for range 50 {
 		e.Answered(150 * time.Millisecond)
 	}
-	g.Expect(e.Wait(least, most)).To(BeNumerically("~", 150*time.Millisecond, 10*time.Millisecond))
+	g.Expect(e.Wait(minTimeout, maxTimeout)).To(BeNumerically("~", 150*time.Millisecond, 10*time.Millisecond))
 	e.Answered(300 * time.Millisecond)
-	g.Expect(e.Wait(least, most)).To(BeNumerically(">", 300*time.Millisecond), "answers that vary are waited for longer")
+	g.Expect(e.Wait(minTimeout, maxTimeout)).To(BeNumerically(">", 300*time.Millisecond), "the wait grows with the variation of the answer times")
 }
 
-func TestDoublesWithEachLossUntilTheNextAnswer(t *testing.T) {
+func TestWaitDoublesWithEachLossUntilTheNextAnswer(t *testing.T) {
 	g := NewWithT(t)
 	var e Estimate
 	e.Answered(4 * time.Millisecond)
 	e.Lost()
-	g.Expect(e.Wait(least, most)).To(Equal(2 * least))
+	g.Expect(e.Wait(minTimeout, maxTimeout)).To(Equal(2 * minTimeout))
 	e.Lost()
-	g.Expect(e.Wait(least, most)).To(Equal(4 * least))
+	g.Expect(e.Wait(minTimeout, maxTimeout)).To(Equal(4 * minTimeout))
 	e.Lost()
-	g.Expect(e.Wait(least, most)).To(Equal(most))
+	g.Expect(e.Wait(minTimeout, maxTimeout)).To(Equal(maxTimeout))
 	e.Answered(4 * time.Millisecond)
-	g.Expect(e.Wait(least, most)).To(Equal(least))
+	g.Expect(e.Wait(minTimeout, maxTimeout)).To(Equal(minTimeout))
 }
