--- a/internal/stall/stall.go
+++ b/internal/stall/stall.go
@@ -9,42 +9,45 @@
 	"time"
 )
 
-// Limits say how long a call may go without progress.
+// Limits bounds how long a call may go without progress, and how long it may take in all.
 type Limits struct {
-	// First is for the first byte of the answer, Gap for each further one.
+	// First bounds the wait for the first byte of the answer, Gap that for each further one.
 	First, Gap time.Duration
-	// Whole bounds the call, so that a trickle does not hold it for ever.
+	// Whole bounds the total time of the call, so that a call that receives a few bytes now and
+	// then ends too.
 	Whole time.Duration
 }
 
-type key struct{}
+// contextKey is the key of the watchdog in the context of a call.
+type contextKey struct{}
 
-// watch is the timer of one call.
-type watch struct {
-	limits Limits
-	moved  func()
+// watchdog is the timer that cancels one call.
+type watchdog struct {
+	limits     Limits
+	onProgress func()
 
 	mu    sync.Mutex
 	timer *time.Timer
 }
 
-// Context returns a context that ends when a call has gone without progress for longer
-// than its limits allow. moved is called at each progress; it may be nil.
-func Context(parent context.Context, l Limits, moved func()) (context.Context, context.CancelFunc) {
+// Context returns a context that is cancelled, with the cause context.DeadlineExceeded, when
+// a call makes no progress within its limits. onProgress is called on each progress; it may
+// be nil.
+func Context(parent context.Context, l Limits, onProgress func()) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithTimeoutCause(parent, l.Whole, context.DeadlineExceeded)
 	ctx, stop := context.WithCancelCause(ctx)
-	w := &watch{limits: l, moved: moved}
+	w := &watchdog{limits: l, onProgress: onProgress}
 	w.timer = time.AfterFunc(l.First, func() { stop(context.DeadlineExceeded) })
-	return context.WithValue(ctx, key{}, w), func() {
+	return context.WithValue(ctx, contextKey{}, w), func() {
 		w.timer.Stop()
 		stop(context.Canceled)
 		cancel()
 	}
 }
 
-// Moved says that a call has made progress. It does nothing without Context.
+// Moved reports progress of the call of ctx. It does nothing if ctx does not come from Context.
 func Moved(ctx context.Context) {
-	w, ok := ctx.Value(key{}).(*watch)
+	w, ok := ctx.Value(contextKey{}).(*watchdog)
 	if !ok {
 		return
 	}
@@ -53,20 +56,21 @@
 		w.timer.Reset(w.limits.Gap)
 	}
 	w.mu.Unlock()
-	if w.moved != nil {
-		w.moved()
+	if w.onProgress != nil {
+		w.onProgress()
 	}
 }
 
-// Reader returns r with each read that brings something told as progress of a call.
-func Reader(ctx context.Context, r io.Reader) io.Reader { return &reader{ctx, r} }
+// Reader returns a reader that reads from r and reports each non-empty read as progress of
+// the call of ctx.
+func Reader(ctx context.Context, r io.Reader) io.Reader { return &progressReader{ctx, r} }
 
-type reader struct {
+type progressReader struct {
 	ctx context.Context
 	r   io.Reader
 }
 
-func (r *reader) Read(p []byte) (int, error) {
+func (r *progressReader) Read(p []byte) (int, error) {
 	n, err := r.r.Read(p)
 	if n > 0 {
 		Moved(r.ctx)
--- a/internal/stall/stall_test.go
+++ b/internal/stall/stall_test.go
@@ -14,21 +14,21 @@
 
 var limits = Limits{First: 300 * time.Millisecond, Gap: 300 * time.Millisecond, Whole: time.Minute}
 
-func TestAnswerOnItsWayIsLetIn(t *testing.T) {
+func TestSlowAnswerIsNotCancelled(t *testing.T) {
 	g := NewWithT(t)
-	moves := 0
-	ctx, cancel := Context(context.Background(), limits, func() { moves++ })
+	progress := 0
+	ctx, cancel := Context(context.Background(), limits, func() { progress++ })
 	defer cancel()
-	// Ten times as long as may pass without a byte.
+	// Ten times the limit on a gap between bytes.
 	for range 60 {
 		time.Sleep(50 * time.Millisecond)
 		Moved(ctx)
 	}
 	g.Expect(ctx.Err()).NotTo(HaveOccurred())
-	g.Expect(moves).To(Equal(60))
+	g.Expect(progress).To(Equal(60))
 }
 
-func TestSilenceEndsACall(t *testing.T) {
+func TestCallWithoutProgressIsCancelled(t *testing.T) {
 	g := NewWithT(t)
 	ctx, cancel := Context(context.Background(), limits, nil)
 	defer cancel()
@@ -38,12 +38,12 @@
 	ctx, cancel = Context(context.Background(), limits, nil)
 	defer cancel()
 	Moved(ctx)
-	g.Eventually(ctx.Done(), 2*time.Second).Should(BeClosed(), "nothing after the first byte")
+	g.Eventually(ctx.Done(), 2*time.Second).Should(BeClosed(), "no byte after the first")
 	Moved(ctx)
-	g.Consistently(ctx.Err).Should(HaveOccurred(), "what came later changes nothing")
+	g.Consistently(ctx.Err).Should(HaveOccurred(), "later progress does not revive the call")
 }
 
-func TestTrickleEnds(t *testing.T) {
+func TestTotalTimeIsBounded(t *testing.T) {
 	g := NewWithT(t)
 	l := limits
 	l.Whole = 500 * time.Millisecond
@@ -57,13 +57,13 @@
 	g.Expect(ctx.Err()).To(HaveOccurred())
 }
 
-func TestReaderTellsOfProgress(t *testing.T) {
+func TestReaderReportsProgress(t *testing.T) {
 	g := NewWithT(t)
-	moves := 0
-	ctx, cancel := Context(context.Background(), limits, func() { moves++ })
+	progress := 0
+	ctx, cancel := Context(context.Background(), limits, func() { progress++ })
 	defer cancel()
 	_, err := io.ReadAll(Reader(ctx, strings.NewReader("abc")))
 	g.Expect(err).NotTo(HaveOccurred())
-	g.Expect(moves).To(Equal(1))
+	g.Expect(progress).To(Equal(1))
 	Moved(context.Background())
 }
