--- a/internal/schema/schema.go
+++ b/internal/schema/schema.go
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package schema checks JSON documents against an embedded JSON schema and
-// reports every fault with its path. The checking itself is done by
-// santhosh-tekuri/jsonschema; this package turns its result into a flat list.
+// Package schema validates JSON documents against an embedded JSON schema and
+// reports every fault with its path. Validation is done by
+// santhosh-tekuri/jsonschema; this package flattens its result into a list.
 package schema
 
 import (
@@ -17,18 +17,19 @@
 	"golang.org/x/text/message"
 )
 
-// Fault is one thing wrong with a document.
+// Fault is one error in a document.
 type Fault struct {
-	// Path points at the fault, such as "/branches/tinting/settings/cpu".
+	// Path is the path of the faulty value, such as "/branches/tinting/settings/cpu",
+	// or the line of a syntax error.
 	Path string `json:"path"`
 	// Detail says what is wrong.
 	Detail string `json:"detail"`
 }
 
-// String returns the fault in one line.
+// String returns the path and the detail on one line.
 func (f Fault) String() string { return f.Path + ": " + f.Detail }
 
-// Join returns the faults in one line.
+// Join returns all faults on one line.
 func Join(faults []Fault) string {
 	lines := make([]string, len(faults))
 	for i, f := range faults {
@@ -42,7 +43,7 @@
 	compiled *jsonschema.Schema
 }
 
-// MustCompile compiles a schema that is part of the program.
+// MustCompile compiles a schema that is part of the program. It panics if that fails.
 func MustCompile(name string, raw []byte) *Schema {
 	doc, err := jsonschema.UnmarshalJSON(bytes.NewReader(raw))
 	if err != nil {
@@ -55,11 +56,11 @@
 	return &Schema{compiled: c.MustCompile(name)}
 }
 
-// Check returns every fault of a document, in the order of their paths.
+// Check returns every fault of a document, sorted by path.
 func (s *Schema) Check(raw []byte) []Fault {
 	doc, err := jsonschema.UnmarshalJSON(bytes.NewReader(raw))
 	if err != nil {
-		return []Fault{{Path: offset(raw, err), Detail: "not valid JSON: " + err.Error()}}
+		return []Fault{{Path: syntaxErrorLine(raw, err), Detail: "not valid JSON: " + err.Error()}}
 	}
 	err = s.compiled.Validate(doc)
 	if err == nil {
@@ -69,26 +70,26 @@
 	if !ok {
 		return []Fault{{Path: "/", Detail: err.Error()}}
 	}
-	faults := leaves(invalid, nil)
+	faults := appendLeafFaults(invalid, nil)
 	sort.Slice(faults, func(i, j int) bool { return faults[i].Path < faults[j].Path })
 	return faults
 }
 
-// leaves collects the innermost causes: the outer ones only repeat them.
-func leaves(e *jsonschema.ValidationError, out []Fault) []Fault {
+// appendLeafFaults appends the innermost causes of e to out. The outer causes only repeat them.
+func appendLeafFaults(e *jsonschema.ValidationError, out []Fault) []Fault {
 	if len(e.Causes) == 0 {
 		p := message.NewPrinter(language.English)
 		detail := e.ErrorKind.LocalizedString(p)
 		return append(out, Fault{Path: "/" + strings.Join(e.InstanceLocation, "/"), Detail: detail})
 	}
 	for _, c := range e.Causes {
-		out = leaves(c, out)
+		out = appendLeafFaults(c, out)
 	}
 	return out
 }
 
-// offset names the line of a syntax error.
-func offset(raw []byte, err error) string {
+// syntaxErrorLine returns the line of a syntax error, or "/" if the error is of another kind.
+func syntaxErrorLine(raw []byte, err error) string {
 	var syntax *json.SyntaxError
 	var probe any
 	if e := json.Unmarshal(raw, &probe); e != nil {
