--- a/internal/body/body.go
+++ b/internal/body/body.go
@@ -7,16 +7,16 @@
 	"io"
 )
 
-// sizeMost bounds the memory that is set aside because a header says so.
-const sizeMost = 64 << 10
+// maxPrealloc limits the memory that is allocated on the word of a Content-Length header alone.
+const maxPrealloc = 64 << 10
 
-// Read reads r to its end. length is what the message says of its length, below
-// zero if it says nothing.
+// Read reads r to its end. length is the Content-Length of the message, negative if it
+// is unknown.
 func Read(r io.Reader, length int64) ([]byte, error) {
 	var buf bytes.Buffer
 	if length > 0 {
-		// Room beyond the end lets the last read find it without growing.
-		buf.Grow(int(min(length, sizeMost)) + bytes.MinRead)
+		// The spare room lets the last read reach the end without growing the buffer.
+		buf.Grow(int(min(length, maxPrealloc)) + bytes.MinRead)
 	}
 	_, err := buf.ReadFrom(r)
 	return buf.Bytes(), err
--- a/internal/body/doc.go
+++ b/internal/body/doc.go
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package body reads the bodies of HTTP messages whole.
+// Package body reads the whole bodies of HTTP messages.
 //
-// Most bodies say how long they are, and are then read into memory of just that
-// size; io.ReadAll grows a buffer step by step instead, which was a tenth of all
-// memory that a call took.
+// Most messages state their length, and their bodies are read into a buffer of that
+// size. io.ReadAll would grow its buffer step by step instead, which accounted for a
+// tenth of all memory that a call allocated.
 package body
