--- a/internal/client/client.go
+++ b/internal/client/client.go
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package client speaks to an instance over HTTP for the command line and for
-// tests. A refusal comes back as an error of package kind.
+// Package client is the HTTP client of an instance, for the command line and for tests.
+// Error responses are returned as errors of package kind.
 package client
 
 import (
@@ -18,15 +18,16 @@
 	"dewpass.org/kind"
 )
 
-// Client speaks to one instance, or to the balancer in front of several.
+// Client sends requests to one instance, or to a load balancer in front of several.
 type Client struct {
-	// Base is the URL, such as "http://10.0.0.1:8080".
+	// Base is the base URL, such as "http://10.0.0.1:8080".
 	Base string
-	// HTTP is the client to use; nil is http.DefaultClient.
+	// HTTP is the underlying client; nil means http.DefaultClient.
 	HTTP *http.Client
 }
 
-// Do sends one request and decodes the answer into out, if it is not nil.
+// Do sends one request with the JSON of in as its body, if in is not nil, and decodes the
+// response into out, if out is not nil.
 func (c *Client) Do(ctx context.Context, method, path string, in, out any) error {
 	raw, err := c.Raw(ctx, method, path, in)
 	if err != nil || out == nil {
@@ -38,7 +39,7 @@
 	return nil
 }
 
-// Raw sends one request and returns the whole answer.
+// Raw is like Do, but returns the body of the response undecoded.
 func (c *Client) Raw(ctx context.Context, method, path string, in any) ([]byte, error) {
 	var body io.Reader = http.NoBody
 	if in != nil {
@@ -55,18 +56,18 @@
 	req.Header.Set("Content-Type", "application/json")
 	resp, err := c.client().Do(req)
 	if err != nil {
-		return nil, kind.Wrap(kind.Lost, err, "no answer")
+		return nil, kind.Wrap(kind.Lost, err, "no response")
 	}
 	defer resp.Body.Close()
 	raw, err := io.ReadAll(resp.Body)
 	if err != nil {
-		return nil, kind.Wrap(kind.Lost, err, "answer cut short")
+		return nil, kind.Wrap(kind.Lost, err, "response truncated")
 	}
 	if n := resp.Header.Get("Content-Length"); n != "" && n != strconv.Itoa(len(raw)) {
-		return nil, kind.New(kind.Damaged, "answer cut short")
+		return nil, kind.New(kind.Damaged, "response truncated")
 	}
 	if resp.StatusCode >= http.StatusBadRequest {
-		return nil, refusal(resp.StatusCode, raw)
+		return nil, decodeError(resp.StatusCode, raw)
 	}
 	return raw, nil
 }
@@ -78,7 +79,8 @@
 	return c.HTTP
 }
 
-func refusal(status int, raw []byte) error {
+// decodeError returns the error that the body of an error response describes.
+func decodeError(status int, raw []byte) error {
 	var f front.Failure
 	if err := json.Unmarshal(raw, &f); err != nil || f.Kind == "" {
 		return kind.New(kind.Damaged, fmt.Sprintf("status %d: %.200s", status, raw))
@@ -86,11 +88,12 @@
 	e := kind.At(kind.Parse(f.Kind), f.Path, f.Detail)
 	e.ID = f.ID
 	e.RetryAfter = time.Duration(f.RetryAfterMS) * time.Millisecond
-	e.Outcome = outcome(f.Outcome)
+	e.Outcome = parseOutcome(f.Outcome)
 	return e
 }
 
-func outcome(s string) kind.Outcome {
+// parseOutcome returns the outcome with the name s, kind.Unknown if there is none.
+func parseOutcome(s string) kind.Outcome {
 	for _, o := range []kind.Outcome{kind.NotRun, kind.Ran} {
 		if o.String() == s {
 			return o
