--- a/test/port/port.go
+++ b/test/port/port.go
@@ -1,13 +1,12 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package port gives tests loopback addresses on which the processes that they
-// start will listen.
+// Package port reserves loopback addresses for the processes that a test starts.
 //
 // A process binds its port some time after the test chose it, and again after a
-// restart, so a port that is merely free now will not do: the kernel may give it
-// to an outgoing connection, or to the next test that asks for a free one. The
-// ports here lie below those that the kernel gives out, and each Lane of them
-// belongs to one holder on the machine until it is closed.
+// restart. A port that is merely free at the moment is therefore not enough: the
+// kernel may assign it to an outgoing connection, or to the next test that asks for a
+// free one. The ports here are below the kernel's ephemeral range, and each Lane of
+// them belongs to one test process on the machine until it is closed.
 package port
 
 import (
@@ -19,36 +18,37 @@
 
 const (
 	host = "127.0.0.1"
-	// first is the first port of the first lane. The last lane ends before
-	// 32768, where Linux begins to give ports out.
-	first = 10000
-	// lanePorts is how many ports a lane has, with the one that marks it as held.
-	lanePorts = 1400
-	lanes     = 16
+	// firstPort is the first port of the first range. The last range ends before 32768, the
+	// start of Linux's ephemeral ports.
+	firstPort = 10000
+	// rangeSize is the number of ports in a range, with the one that serves as its lock.
+	rangeSize  = 1400
+	rangeCount = 16
 )
 
-// Lane is a range of ports that one holder has to itself.
+// Lane is a range of ports reserved for one test process. It is reserved while lock, a
+// listener on its first port, is open.
 type Lane struct {
-	mark net.Listener
+	lock net.Listener
 	next int
 	end  int
 }
 
-// Take returns a lane that nobody holds. It fails if all are held.
+// Take reserves a range that is not reserved yet. It fails if all are.
 func Take() (*Lane, error) {
-	for i := range lanes {
-		begin := first + i*lanePorts
-		mark, err := net.Listen("tcp", address(begin))
+	for i := range rangeCount {
+		begin := firstPort + i*rangeSize
+		lock, err := net.Listen("tcp", address(begin))
 		if err != nil {
 			continue
 		}
-		return &Lane{mark: mark, next: begin + 1, end: begin + lanePorts}, nil
+		return &Lane{lock: lock, next: begin + 1, end: begin + rangeSize}, nil
 	}
-	return nil, errors.Errorf("all %d lanes of ports are held", lanes)
+	return nil, errors.Errorf("all %d port ranges are reserved", rangeCount)
 }
 
-// Free returns n addresses that nobody listens on. No call returns an address
-// that an earlier one has returned. It fails when the lane is used up.
+// Free returns n addresses on which nobody listens. It never returns the same address
+// twice, and fails once the range is used up.
 func (l *Lane) Free(n int) ([]string, error) {
 	var out []string
 	for len(out) < n {
@@ -57,17 +57,18 @@
 		}
 		addr := address(l.next)
 		l.next++
-		if free(addr) {
+		if isFree(addr) {
 			out = append(out, addr)
 		}
 	}
 	return out, nil
 }
 
-// Close gives the lane back.
-func (l *Lane) Close() error { return l.mark.Close() }
+// Close ends the reservation.
+func (l *Lane) Close() error { return l.lock.Close() }
 
-func free(addr string) bool {
+// isFree reports whether nobody listens on addr.
+func isFree(addr string) bool {
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
 		return false
--- a/test/port/port_test.go
+++ b/test/port/port_test.go
@@ -18,7 +18,7 @@
 	RunSpecs(t, "port")
 }
 
-func take() *Lane {
+func reserve() *Lane {
 	GinkgoHelper()
 	l, err := Take()
 	Expect(err).NotTo(HaveOccurred())
@@ -26,12 +26,12 @@
 	return l
 }
 
-var _ = Describe("a lane of ports", func() {
-	It("never gives an address twice, nor one of another lane", func() {
-		lanes := []*Lane{take(), take()}
+var _ = Describe("a reserved range of ports", func() {
+	It("never returns an address twice, nor one of another range", func() {
+		ranges := []*Lane{reserve(), reserve()}
 		seen := map[string]bool{}
 		for range 50 {
-			for _, l := range lanes {
+			for _, l := range ranges {
 				addrs, err := l.Free(12)
 				Expect(err).NotTo(HaveOccurred())
 				for _, a := range addrs {
@@ -42,26 +42,26 @@
 		}
 	})
 
-	It("passes over a port that somebody listens on", func() {
-		l := take()
-		held, err := net.Listen("tcp", address(l.next))
+	It("skips a port on which somebody listens", func() {
+		l := reserve()
+		listener, err := net.Listen("tcp", address(l.next))
 		Expect(err).NotTo(HaveOccurred())
-		defer held.Close()
+		defer listener.Close()
 		addrs, err := l.Free(1)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(addrs).NotTo(ContainElement(held.Addr().String()))
+		Expect(addrs).NotTo(ContainElement(listener.Addr().String()))
 	})
 
-	It("says when it is used up", func() {
-		_, err := take().Free(lanePorts)
+	It("fails when it is used up", func() {
+		_, err := reserve().Free(rangeSize)
 		Expect(err).To(MatchError(ContainSubstring("ports wanted")))
 	})
 
-	It("lies below the ports that the kernel gives out", func() {
+	It("is below the kernel's ephemeral ports", func() {
 		raw, err := os.ReadFile("/proc/sys/net/ipv4/ip_local_port_range")
 		Expect(err).NotTo(HaveOccurred())
 		lowest, err := strconv.Atoi(strings.Fields(string(raw))[0])
 		Expect(err).NotTo(HaveOccurred())
-		Expect(first + lanes*lanePorts).To(BeNumerically("<=", lowest))
+		Expect(firstPort + rangeCount*rangeSize).To(BeNumerically("<=", lowest))
 	})
 })
