--- a/test/mute/mute.go
+++ b/test/mute/mute.go
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package mute is a TCP proxy for tests whose connections can go silent: without a
-// reset, for good, while new ones work.
+// Package mute is a TCP proxy for tests whose connections can become silent: they pass on no
+// more data, for good and without a reset, while new connections work.
 package mute
 
 import (
@@ -11,28 +11,28 @@
 	"sync/atomic"
 )
 
-// Proxy passes connections on to an address.
+// Proxy forwards connections to an address.
 type Proxy struct {
-	target string
-	l      net.Listener
-	mu     sync.Mutex
-	pairs  map[*pair]struct{}
+	target   string
+	listener net.Listener
+	mu       sync.Mutex
+	pairs    map[*pair]struct{}
 }
 
-// pair is a connection and the one that it is passed on by.
+// pair is an accepted connection and the connection to the target that it is forwarded to.
 type pair struct {
-	// ends are the dialer's and the target's.
+	// ends are the connection from the dialer and that to the target.
 	ends   [2]net.Conn
 	silent atomic.Bool
 
 	mu sync.Mutex
-	// late says that what comes from the target is held until the dialer sends something,
-	// and held is that.
-	late bool
-	held []byte
+	// silenceOnWrite says that data from the target is kept in held until the dialer sends
+	// something, and that the pair is silent from then on.
+	silenceOnWrite bool
+	held           []byte
 }
 
-// Listen starts a proxy in front of an address, on the same host.
+// Listen starts a proxy for the address target, on the same host.
 func Listen(target string) (*Proxy, error) {
 	host, _, err := net.SplitHostPort(target)
 	if err != nil {
@@ -42,16 +42,16 @@
 	if err != nil {
 		return nil, err
 	}
-	p := &Proxy{target: target, l: l, pairs: make(map[*pair]struct{})}
+	p := &Proxy{target: target, listener: l, pairs: make(map[*pair]struct{})}
 	go p.accept()
 	return p, nil
 }
 
-// Addr returns where the proxy listens.
-func (p *Proxy) Addr() string { return p.l.Addr().String() }
+// Addr returns the address on which the proxy listens.
+func (p *Proxy) Addr() string { return p.listener.Addr().String() }
 
-// Silence lets all open connections go silent, in both directions, and returns how
-// many these are. Neither end is told, and what is sent on them is lost.
+// Silence makes all open connections silent in both directions, and returns how many it
+// silenced. Neither end is notified, and data sent on them is discarded.
 func (p *Proxy) Silence() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -64,20 +64,20 @@
 	return n
 }
 
-// SilenceLate lets all open connections go silent once their dialers send something more.
-// What comes for a dialer until then reaches it just after that, as bytes do that were on
-// their way.
+// SilenceLate makes each open connection silent as soon as its dialer sends something. Data
+// that arrives for the dialer until then is delivered right after that, like data that was
+// in transit.
 func (p *Proxy) SilenceLate() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for c := range p.pairs {
 		c.mu.Lock()
-		c.late = true
+		c.silenceOnWrite = true
 		c.mu.Unlock()
 	}
 }
 
-// Held returns how many bytes wait for their dialers to send something.
+// Held returns the number of bytes that are held back until their dialers send something.
 func (p *Proxy) Held() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -90,7 +90,7 @@
 	return n
 }
 
-// Open returns how many open connections are not silent.
+// Open returns the number of open connections that are not silent.
 func (p *Proxy) Open() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -103,9 +103,9 @@
 	return n
 }
 
-// Close ends the proxy and its connections.
+// Close closes the proxy and its connections.
 func (p *Proxy) Close() {
-	_ = p.l.Close()
+	_ = p.listener.Close()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for c := range p.pairs {
@@ -121,33 +121,33 @@
 
 func (p *Proxy) accept() {
 	for {
-		c, err := p.l.Accept()
+		c, err := p.listener.Accept()
 		if err != nil {
 			return
 		}
-		go p.open(c)
+		go p.forward(c)
 	}
 }
 
-func (p *Proxy) open(c net.Conn) {
+func (p *Proxy) forward(c net.Conn) {
 	far, err := net.Dial("tcp", p.target)
 	if err != nil {
 		_ = c.Close()
 		return
 	}
-	both := &pair{ends: [2]net.Conn{c, far}}
+	conns := &pair{ends: [2]net.Conn{c, far}}
 	p.mu.Lock()
-	p.pairs[both] = struct{}{}
+	p.pairs[conns] = struct{}{}
 	p.mu.Unlock()
-	go p.pass(both, 0)
-	go p.pass(both, 1)
+	go p.relay(conns, 0)
+	go p.relay(conns, 1)
 }
 
-// pass passes on what comes from one end, and its close, until the pair is silent. From
-// then on what comes is thrown away, and the other end hears of no close.
-func (p *Proxy) pass(c *pair, from int) {
-	// Whatever ends the copying ends the pair.
-	_, _ = io.Copy(&muted{Conn: c.ends[1-from], pair: c, fromDialer: from == 0}, c.ends[from])
+// relay copies data from one end to the other, and then closes both, unless the pair is silent.
+// Once it is, data is discarded and the other end is not closed.
+func (p *Proxy) relay(c *pair, from int) {
+	// The pair ends with the copying, whatever the reason.
+	_, _ = io.Copy(&pairWriter{Conn: c.ends[1-from], pair: c, fromDialer: from == 0}, c.ends[from])
 	if c.silent.Load() {
 		return
 	}
@@ -157,27 +157,27 @@
 	delete(p.pairs, c)
 }
 
-// muted loses what is written once its pair is silent.
-type muted struct {
+// pairWriter writes to one end of a pair. It discards the data once the pair is silent.
+type pairWriter struct {
 	net.Conn
 	pair       *pair
 	fromDialer bool
 }
 
 // Write implements io.Writer.
-func (m *muted) Write(b []byte) (int, error) {
-	if m.pair.silent.Load() || m.pair.keep(b, m.fromDialer) {
+func (m *pairWriter) Write(b []byte) (int, error) {
+	if m.pair.silent.Load() || m.pair.intercept(b, m.fromDialer) {
 		return len(b), nil
 	}
 	return m.Conn.Write(b)
 }
 
-// keep takes what goes to one end of a pair that goes silent late. It reports whether it
-// did.
-func (c *pair) keep(b []byte, fromDialer bool) bool {
+// intercept handles data of a pair that is to become silent on the dialer's next write. It
+// reports whether it has taken the data; otherwise the caller has to write it.
+func (c *pair) intercept(b []byte, fromDialer bool) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.late {
+	if !c.silenceOnWrite {
 		return false
 	}
 	if !fromDialer {
