--- a/test/thinlink/thinlink.go
+++ b/test/thinlink/thinlink.go
@@ -1,13 +1,12 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package thinlink gives a process that a test starts a link of little bandwidth
-// to an address.
+// Package thinlink simulates a low-bandwidth link between a process started by a test and
+// an address.
 //
-// A Link listens on an address of its own and carries every connection on to a
-// target. All connections of a Link share its rate, a chunk each in turn, as the
-// connections of one machine share its network interface; the two directions
-// don't slow each other. What a connection has not yet been carried is lost when
-// either side closes it.
+// A Link listens on an address of its own and forwards every connection to a target. All
+// connections of a Link share its rate, taking turns chunk by chunk, as the connections
+// of a machine share its network interface; the two directions are limited separately.
+// Data of a connection that is not forwarded yet is discarded when either side closes it.
 package thinlink
 
 import (
@@ -19,26 +18,25 @@
 	"golang.org/x/time/rate"
 )
 
-// chunk is how many bytes a connection carries in its turn: few enough that a short
-// call is not held up behind long transfers, 3 ms each at 1.25 MB/s.
+// chunk is how many bytes a connection forwards in its turn: few enough that a short call
+// is not delayed by long transfers, which take 3 ms per turn at 1.25 MB/s.
 const chunk = 4 << 10
 
-// Link carries connections to a target at a shared rate.
+// Link forwards connections to a target at a shared rate.
 type Link struct {
-	// Addr is where the Link listens.
+	// Addr is the address on which the Link listens.
 	Addr string
 
-	target   string
-	listener net.Listener
-	up, down *rate.Limiter
-	carried  atomic.Int64
-	ctx      context.Context
-	cancel   context.CancelFunc
-	wg       sync.WaitGroup
+	target    string
+	listener  net.Listener
+	up, down  *rate.Limiter
+	forwarded atomic.Int64
+	ctx       context.Context
+	cancel    context.CancelFunc
+	wg        sync.WaitGroup
 }
 
-// Start starts a Link on a loopback address that carries so many bytes a second in
-// each direction.
+// Start starts a Link on a loopback address that forwards bytesPerSecond in each direction.
 func Start(target string, bytesPerSecond int) (*Link, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -55,34 +53,34 @@
 	return l, nil
 }
 
-// Carried returns how many bytes the Link has carried, both directions together.
-func (l *Link) Carried() int64 { return l.carried.Load() }
+// Carried returns the number of bytes forwarded, in both directions together.
+func (l *Link) Carried() int64 { return l.forwarded.Load() }
 
-// Close cuts all connections and ends the Link.
+// Close closes all connections and the Link.
 func (l *Link) Close() {
 	l.cancel()
 	_ = l.listener.Close()
 	l.wg.Wait()
 }
 
-// accept takes connections until the listener is closed.
+// accept accepts connections until the listener is closed.
 func (l *Link) accept() {
 	for {
 		caller, err := l.listener.Accept()
 		if err != nil {
 			return
 		}
-		l.wg.Go(func() { l.join(caller) })
+		l.wg.Go(func() { l.forward(caller) })
 	}
 }
 
-// join carries one connection until either side closes it or the Link ends.
-func (l *Link) join(caller net.Conn) {
+// forward forwards one connection until either side closes it or the Link is closed.
+func (l *Link) forward(caller net.Conn) {
 	defer caller.Close()
 	var dialer net.Dialer
 	callee, err := dialer.DialContext(l.ctx, "tcp", l.target)
 	if err != nil {
-		// The caller sees the same as without the Link: nobody is there.
+		// The caller sees its connection closed, as nobody listens on the target.
 		return
 	}
 	defer callee.Close()
@@ -94,17 +92,17 @@
 	var both sync.WaitGroup
 	both.Go(func() {
 		defer cancel()
-		l.carry(ctx, callee, caller, l.up)
+		l.copyLimited(ctx, callee, caller, l.up)
 	})
 	both.Go(func() {
 		defer cancel()
-		l.carry(ctx, caller, callee, l.down)
+		l.copyLimited(ctx, caller, callee, l.down)
 	})
 	both.Wait()
 }
 
-// carry carries one direction of a connection until it is closed.
-func (l *Link) carry(ctx context.Context, to, from net.Conn, limit *rate.Limiter) {
+// copyLimited forwards one direction of a connection until it is closed.
+func (l *Link) copyLimited(ctx context.Context, to, from net.Conn, limit *rate.Limiter) {
 	buf := make([]byte, chunk)
 	for {
 		n, err := from.Read(buf)
@@ -112,7 +110,7 @@
 			if limit.WaitN(ctx, n) != nil {
 				return
 			}
-			l.carried.Add(int64(n))
+			l.forwarded.Add(int64(n))
 			if _, err := to.Write(buf[:n]); err != nil {
 				return
 			}
--- a/test/thinlink/thinlink_test.go
+++ b/test/thinlink/thinlink_test.go
@@ -19,9 +19,9 @@
 	RunSpecs(t, "thinlink")
 }
 
-const rateOfTest = 1 << 20
+const testRate = 1 << 20
 
-// listen serves each connection with a function and returns the address.
+// listen starts a listener that handles each connection with serve, and returns its address.
 func listen(serve func(net.Conn)) string {
 	GinkgoHelper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -39,9 +39,9 @@
 	return listener.Addr().String()
 }
 
-func startTo(target string) *Link {
+func startLink(target string) *Link {
 	GinkgoHelper()
-	l, err := Start(target, rateOfTest)
+	l, err := Start(target, testRate)
 	Expect(err).NotTo(HaveOccurred())
 	DeferCleanup(l.Close)
 	return l
@@ -55,10 +55,10 @@
 	return conn
 }
 
-var _ = Describe("a thin link", func() {
-	It("carries all connections whole, at one rate together, and counts the bytes", func() {
+var _ = Describe("a low-bandwidth link", func() {
+	It("forwards all connections completely at a shared rate, and counts the bytes", func() {
 		const answer, callers = 128 << 10, 4
-		l := startTo(listen(func(conn net.Conn) {
+		l := startLink(listen(func(conn net.Conn) {
 			_, _ = conn.Write(bytes.Repeat([]byte("x"), answer))
 			_ = conn.Close()
 		}))
@@ -74,24 +74,24 @@
 			})
 		}
 		all.Wait()
-		// Half a second's worth, less what the link may carry at once.
+		// The data takes 500 ms at the rate, less the initial burst that the limiter allows.
 		Expect(time.Since(begun)).To(BeNumerically(">", 450*time.Millisecond))
 		Expect(l.Carried()).To(Equal(int64(answer * callers)))
 	})
 
-	It("closes the far side when the caller leaves", func() {
-		left := make(chan struct{})
-		l := startTo(listen(func(conn net.Conn) {
+	It("closes the connection to the target when the caller closes its own", func() {
+		closed := make(chan struct{})
+		l := startLink(listen(func(conn net.Conn) {
 			_, _ = io.Copy(io.Discard, conn)
-			close(left)
+			close(closed)
 		}))
 		Expect(dial(l).Close()).To(Succeed())
-		Eventually(left, 5*time.Second).Should(BeClosed())
+		Eventually(closed, 5*time.Second).Should(BeClosed())
 	})
 
-	It("carries nothing more of a transfer that the caller broke off", func() {
-		l := startTo(listen(func(conn net.Conn) {
-			_, _ = conn.Write(make([]byte, 8*rateOfTest))
+	It("forwards nothing more of a transfer that the caller has aborted", func() {
+		l := startLink(listen(func(conn net.Conn) {
+			_, _ = conn.Write(make([]byte, 8*testRate))
 		}))
 		conn := dial(l)
 		_, err := io.ReadFull(conn, make([]byte, chunk))
