--- a/internal/drain/drain.go
+++ b/internal/drain/drain.go
@@ -84,7 +84,7 @@
 // passed. Closing it resets connections that are not accepted yet, on which callers may
 // already have sent requests.
 func (s *Server) closeListener() {
-	for end := time.Now().Add(acceptTimeout); sock.Waiting(s.listener) > 0 && time.Now().Before(end); {
+	for end := time.Now().Add(acceptTimeout); sock.AcceptQueueLen(s.listener) > 0 && time.Now().Before(end); {
 		time.Sleep(acceptPollInterval)
 	}
 	// Serve returns the listener's error.
--- a/internal/sock/sock.go
+++ b/internal/sock/sock.go
@@ -37,9 +37,9 @@
 	return lc.Listen(ctx, "tcp", addr)
 }
 
-// Waiting returns the number of connections in a listener's accept queue, 0 if it
+// AcceptQueueLen returns the number of connections in a listener's accept queue, 0 if it
 // is unknown.
-func Waiting(l net.Listener) int {
+func AcceptQueueLen(l net.Listener) int {
 	c, ok := l.(syscall.Conn)
 	if !ok {
 		return 0
