--- a/tree/compile.go
+++ b/tree/compile.go
@@ -15,7 +15,7 @@
 	"dewpass.org/sched"
 )
 
-// Kind is the kind of a workload.
+// Kind is the kind of a workload, which decides how its tasks are started.
 type Kind string
 
 // The kinds of workload.
@@ -25,23 +25,23 @@
 	Service Kind = "service"
 )
 
-// CutOff says what becomes of tasks whose hall is cut off.
+// CutOff says what happens to the tasks of a hall that can no longer be reached.
 type CutOff string
 
 const (
-	// Hold never starts such a task elsewhere until its hall is back or an
-	// operator sets it as lost.
+	// Hold does not start such a task elsewhere until its hall is reachable again
+	// or an operator marks the hall as lost.
 	Hold CutOff = "hold"
-	// Move starts it elsewhere after MoveAfter; the hall that is cut off stops
-	// it by then.
+	// Move starts the task elsewhere after MoveAfter. The unreachable hall stops
+	// it on its own before then.
 	Move CutOff = "move"
 )
 
 // Workload is a workload with all of its settings resolved.
 type Workload struct {
 	Path string `json:"path"`
-	// Team is the path of the nearest branch with a quota, or else the first
-	// branch on the way.
+	// Team is the path of the nearest branch with a quota, or of the top-level
+	// branch if there is none.
 	Team        string                `json:"team"`
 	Kind        Kind                  `json:"kind"`
 	Class       sched.Class           `json:"class"`
@@ -58,43 +58,43 @@
 	CutOff      CutOff                `json:"cut_off"`
 	MoveAfter   time.Duration         `json:"move_after"`
 	Count       int                   `json:"count"`
-	// Keep is how long a job, its answer and its request key are kept after its
-	// end.
+	// Keep is how long a job, its answer and its request key are retained after
+	// the job has ended.
 	Keep time.Duration `json:"keep"`
-	// Values holds every setting in force with the branch that it came from.
+	// Values holds every setting in force and the branch that sets it.
 	Values map[string]Value `json:"values"`
 }
 
-// Value is a setting in force.
+// Value is the value of a setting in force.
 type Value struct {
 	Value json.RawMessage `json:"value"`
-	// From is the path of the branch that sets it, "" for the root, and
-	// "default" for the built-in value.
+	// From is the path of the branch that sets the value: "" for the root,
+	// "default" for a built-in default.
 	From string `json:"from"`
 }
 
-// Team is a branch with a quota.
+// Team is a branch with a quota, or a top-level branch.
 type Team struct {
 	Path   string    `json:"path"`
 	Quota  sched.Vec `json:"quota"`
 	Borrow bool      `json:"borrow"`
 }
 
-// Compiled is a tree resolved. It is not changed once made.
+// Compiled is a resolved tree. It is immutable.
 type Compiled struct {
 	Version   uint64
 	Doc       *Doc
 	Workloads map[string]*Workload
 	Teams     map[string]Team
-	// Halls lists the halls that the tree names, none if it names none.
+	// Halls lists the halls that the tree names; it may be empty.
 	Halls []string
-	// Lost holds the halls and workers that an operator has set as lost.
+	// Lost holds the halls and workers that an operator has marked as lost.
 	Lost map[string]bool
-	// Reserve is the number of calls that each owner always keeps room for.
+	// Reserve is the number of calls for which each owner always keeps capacity.
 	Reserve int64
 }
 
-// Names returns the paths of the workloads in order.
+// Names returns the paths of the workloads in sorted order.
 func (c *Compiled) Names() []string {
 	names := make([]string, 0, len(c.Workloads))
 	for name := range c.Workloads {
@@ -104,16 +104,16 @@
 	return names
 }
 
-// Compile resolves a checked document.
+// Compile resolves a document that Parse has accepted.
 func Compile(d *Doc, version uint64) (*Compiled, error) {
-	c, faults := compile(d, version)
+	c, faults := compileDoc(d, version)
 	if len(faults) > 0 {
-		return nil, badTree(faults)
+		return nil, badTreeError(faults)
 	}
 	return c, nil
 }
 
-// defaults are the settings in force where no branch sets them.
+// defaults holds the built-in values of settings that no branch sets.
 var defaults = map[string]string{
 	"class":        `"standard"`,
 	"accelerators": `0`,
@@ -132,16 +132,16 @@
 	"keep":         `"168h"`,
 }
 
-// DefaultKeep is the setting keep where no branch sets it.
+// DefaultKeep is the built-in value of the setting keep.
 const DefaultKeep = 168 * time.Hour
 
 type compiler struct {
-	out    *Compiled
-	faults []schema.Fault
+	compiled *Compiled
+	faults   []schema.Fault
 }
 
-func compile(d *Doc, version uint64) (*Compiled, []schema.Fault) {
-	c := &compiler{out: &Compiled{
+func compileDoc(d *Doc, version uint64) (*Compiled, []schema.Fault) {
+	c := &compiler{compiled: &Compiled{
 		Version:   version,
 		Doc:       d,
 		Workloads: make(map[string]*Workload),
@@ -152,14 +152,14 @@
 	for name, v := range defaults {
 		inherited[name] = Value{Value: json.RawMessage(v), From: "default"}
 	}
-	c.root(&d.Branch)
-	c.branch(nil, &d.Branch, inherited, "")
-	c.references()
+	c.compileRoot(&d.Branch)
+	c.compileBranch(nil, &d.Branch, inherited, "")
+	c.checkReferences()
 	sort.Slice(c.faults, func(i, j int) bool { return c.faults[i].Path < c.faults[j].Path })
-	return c.out, c.faults
+	return c.compiled, c.faults
 }
 
-func (c *compiler) fault(names []string, setting, detail string) {
+func (c *compiler) addFault(names []string, setting, detail string) {
 	path := ""
 	for _, n := range names {
 		path += "/branches/" + n
@@ -170,28 +170,29 @@
 	c.faults = append(c.faults, schema.Fault{Path: path, Detail: detail})
 }
 
-// rootOnly lists the settings that speak of the cell as a whole.
-var rootOnly = []string{"halls", "lost", "reserve"}
+// rootOnlySettings lists the settings that concern the whole cell and are
+// allowed only at the root.
+var rootOnlySettings = []string{"halls", "lost", "reserve"}
 
-func (c *compiler) root(b *Branch) {
-	decode(b.Settings["halls"], &c.out.Halls)
-	decode(b.Settings["reserve"], &c.out.Reserve)
+func (c *compiler) compileRoot(b *Branch) {
+	decodeIfSet(b.Settings["halls"], &c.compiled.Halls)
+	decodeIfSet(b.Settings["reserve"], &c.compiled.Reserve)
 	var lost []string
-	decode(b.Settings["lost"], &lost)
+	decodeIfSet(b.Settings["lost"], &lost)
 	for _, name := range lost {
-		c.out.Lost[name] = true
+		c.compiled.Lost[name] = true
 	}
 }
 
-// decode reads a value whose type the schema has checked. An absent one is
-// left as it is.
-func decode(raw json.RawMessage, out any) {
+// decodeIfSet decodes a value whose type the schema has checked. It leaves out
+// unchanged if the value is absent.
+func decodeIfSet(raw json.RawMessage, out any) {
 	if raw != nil {
 		_ = json.Unmarshal(raw, out)
 	}
 }
 
-func (c *compiler) branch(names []string, b *Branch, inherited map[string]Value, team string) {
+func (c *compiler) compileBranch(names []string, b *Branch, inherited map[string]Value, team string) {
 	path := strings.Join(names, "/")
 	values := make(map[string]Value, len(inherited)+len(b.Settings))
 	for name, v := range inherited {
@@ -200,54 +201,54 @@
 	for name, raw := range b.Settings {
 		values[name] = Value{Value: raw, From: path}
 	}
-	c.misplaced(names, b)
+	c.checkRootOnly(names, b)
 	if _, ok := b.Settings["quota"]; ok || len(names) == 1 {
 		team = path
-		c.team(path, b, values)
+		c.compileTeam(path, b, values)
 	}
 	for name, child := range b.Branches {
-		c.branch(append(names[:len(names):len(names)], name), child, values, team)
+		c.compileBranch(append(names[:len(names):len(names)], name), child, values, team)
 	}
 	if _, ok := values["kind"]; ok && len(b.Branches) == 0 && len(names) > 0 {
-		c.workload(names, values, team)
+		c.compileWorkload(names, values, team)
 	}
 }
 
-func (c *compiler) misplaced(names []string, b *Branch) {
+func (c *compiler) checkRootOnly(names []string, b *Branch) {
 	if len(names) == 0 {
 		return
 	}
-	for _, name := range rootOnly {
+	for _, name := range rootOnlySettings {
 		if _, ok := b.Settings[name]; ok {
-			c.fault(names, name, "may be set at the root only")
+			c.addFault(names, name, "is allowed only at the root")
 		}
 	}
 }
 
-func (c *compiler) team(path string, b *Branch, values map[string]Value) {
+func (c *compiler) compileTeam(path string, b *Branch, values map[string]Value) {
 	t := Team{Path: path}
-	decode(values["borrow"].Value, &t.Borrow)
+	decodeIfSet(values["borrow"].Value, &t.Borrow)
 	var q struct {
 		CPU          string `json:"cpu"`
 		Memory       string `json:"memory"`
 		Accelerators int64  `json:"accelerators"`
 		Slots        int64  `json:"slots"`
 	}
-	decode(b.Settings["quota"], &q)
+	decodeIfSet(b.Settings["quota"], &q)
 	t.Quota = sched.Vec{
 		sched.MilliCPU:     parseCPU(q.CPU),
 		sched.MemoryMiB:    parseMemory(q.Memory),
 		sched.Accelerators: q.Accelerators,
 		sched.Slots:        q.Slots,
 	}
-	c.out.Teams[path] = t
+	c.compiled.Teams[path] = t
 }
 
-func (c *compiler) workload(names []string, values map[string]Value, team string) {
+func (c *compiler) compileWorkload(names []string, values map[string]Value, team string) {
 	w := &Workload{Path: strings.Join(names, "/"), Team: team, Values: values}
 	var class, cpu, memory string
 	var yield []string
-	get := func(name string, out any) { decode(values[name].Value, out) }
+	get := func(name string, out any) { decodeIfSet(values[name].Value, out) }
 	get("kind", &w.Kind)
 	get("class", &class)
 	get("cpu", &cpu)
@@ -270,13 +271,13 @@
 	w.Estimate = parseDuration(values["estimate"].Value)
 	w.MoveAfter = parseDuration(values["move-after"].Value)
 	w.Keep = parseDuration(values["keep"].Value)
-	w.Ladder = ladder(yield)
-	c.window(names, w)
-	c.required(names, w)
-	c.out.Workloads[w.Path] = w
+	w.Ladder = parseLadder(yield)
+	c.compileWindow(names, w)
+	c.checkRequired(names, w)
+	c.compiled.Workloads[w.Path] = w
 }
 
-func ladder(steps []string) sched.PreemptionModes {
+func parseLadder(steps []string) sched.PreemptionModes {
 	var l sched.PreemptionModes
 	for _, s := range steps {
 		switch s {
@@ -291,76 +292,76 @@
 	return l
 }
 
-func (c *compiler) window(names []string, w *Workload) {
+func (c *compiler) compileWindow(names []string, w *Workload) {
 	raw := w.Values["window"].Value
 	if raw == nil {
 		return
 	}
 	win, err := parseWindow(raw)
 	if err != nil {
-		c.fault(names, "window", err.Error())
+		c.addFault(names, "window", err.Error())
 		return
 	}
 	w.Window = win
 }
 
-func (c *compiler) required(names []string, w *Workload) {
+func (c *compiler) checkRequired(names []string, w *Workload) {
 	for _, name := range []string{"cpu", "memory"} {
 		if _, ok := w.Values[name]; !ok {
-			c.fault(names, "", "a workload needs the setting "+name)
+			c.addFault(names, "", "a workload needs the setting "+name)
 		}
 	}
 	if _, ok := w.Values["count"]; !ok && w.Kind == Service {
-		c.fault(names, "", "a service needs the setting count")
+		c.addFault(names, "", "a service needs the setting count")
 	}
 	if w.Kind == Call && w.Deadline == 0 {
-		c.fault(names, "", "a call needs the setting deadline")
+		c.addFault(names, "", "a call needs the setting deadline")
 	}
 	if w.Kind == Service && w.Repeat == ports.RepeatNever {
-		c.fault(names, "repeat", "a service is started again by its nature")
+		c.addFault(names, "repeat", "a service is always restarted, so never is not allowed")
 	}
 	if w.Keep < minKeep {
-		c.fault(names, "keep", "must be at least "+minKeep.String())
+		c.addFault(names, "keep", "must be at least "+minKeep.String())
 	}
 	if w.CutOff == Move && w.MoveAfter < minMoveAfter {
-		c.fault(names, "move-after", "must be at least "+minMoveAfter.String())
+		c.addFault(names, "move-after", "must be at least "+minMoveAfter.String())
 	}
 }
 
-// minMoveAfter is the shortest time after which a cut hall can be sure to have
-// stopped its tasks.
+// minMoveAfter is the shortest delay after which an unreachable hall is sure to
+// have stopped its tasks.
 const minMoveAfter = 10 * time.Second
 
-// minKeep is longer than any answer of the table may be late: a request key
-// must outlive every copy of its request.
+// minKeep is longer than any delay of a reply of the table: a request key must
+// be retained longer than any copy of its request can be in flight.
 const minKeep = 10 * time.Second
 
-// references checks the settings that name each other.
-func (c *compiler) references() {
-	known := make(map[string]bool, len(c.out.Halls))
-	for _, h := range c.out.Halls {
+// checkReferences checks settings that refer to each other.
+func (c *compiler) checkReferences() {
+	known := make(map[string]bool, len(c.compiled.Halls))
+	for _, h := range c.compiled.Halls {
 		known[h] = true
 	}
-	for name := range c.out.Lost {
+	for name := range c.compiled.Lost {
 		hall, _, isWorker := strings.Cut(name, "/")
 		if len(known) > 0 && !known[hall] {
 			what := "hall"
 			if isWorker {
 				what = "hall of a worker"
 			}
-			c.fault(nil, "lost", strconv.Quote(name)+": no such "+what+" in the setting halls")
+			c.addFault(nil, "lost", strconv.Quote(name)+": no such "+what+" in the setting halls")
 		}
 	}
 }
 
 func parseDuration(raw json.RawMessage) time.Duration {
 	var s string
-	decode(raw, &s)
+	decodeIfSet(raw, &s)
 	d, _ := time.ParseDuration(s)
 	return d
 }
 
-const milliPerCPU = 1000
+const millicoresPerCPU = 1000
 
 func parseCPU(s string) int64 {
 	if m, ok := strings.CutSuffix(s, "m"); ok {
@@ -368,7 +369,7 @@
 		return n
 	}
 	f, _ := strconv.ParseFloat(s, 64)
-	return int64(f*milliPerCPU + 0.5)
+	return int64(f*millicoresPerCPU + 0.5)
 }
 
 const mibPerGiB = 1024
@@ -382,7 +383,7 @@
 	return n
 }
 
-// Lookup returns a workload, or an error of kind UnknownWorkload.
+// Lookup returns the workload at path, or an error of kind UnknownWorkload.
 func (c *Compiled) Lookup(path string) (*Workload, error) {
 	if w := c.Workloads[path]; w != nil {
 		return w, nil
--- a/tree/store.go
+++ b/tree/store.go
@@ -16,30 +16,31 @@
 	"dewpass.org/ports"
 )
 
-// The rows of the tree in the platform's table.
+// Keys and key prefixes of the tree's rows in the platform's table.
 const (
 	headKey    = "tree/head"
 	versionKey = "tree/version"
 	logPrefix  = "tree/log/"
-	idPrefix   = "tree/edit/"
+	editPrefix = "tree/edit/"
 )
 
 const (
-	maxRebases = 16
-	logPage    = 200
+	maxAttempts = 16
+	logPageSize = 200
 )
 
-// Head is the row that holds the tree.
+// Head is the row that holds the current tree.
 type Head struct {
 	Version uint64          `json:"version"`
 	Doc     json.RawMessage `json:"doc"`
 }
 
-// Edit is a change to the tree.
+// Edit is a list of operations that are applied to the tree together.
 type Edit struct {
-	// ID makes a repeated edit safe. It must be new for each edit.
+	// ID identifies the edit, so that sending it again has no further effect. It
+	// must be unique to each edit.
 	ID string `json:"id"`
-	// Base is the version that the operator saw.
+	// Base is the version of the tree on which the edit was made.
 	Base uint64 `json:"base"`
 	Ops  []Op   `json:"ops"`
 	Who  string `json:"who,omitempty"`
@@ -56,20 +57,20 @@
 // Store keeps the tree in the platform's table.
 type Store struct {
 	Table ports.Table
-	// Now returns the time for the log.
+	// Now returns the time that is recorded in the log.
 	Now func() time.Time
 }
 
 func logKey(version uint64) string { return fmt.Sprintf("%s%020d", logPrefix, version) }
 
-// Load returns the tree as it stands. An empty table has version 0.
+// Load returns the current tree. An empty table has version 0.
 func (s *Store) Load(ctx context.Context) (Head, error) {
-	head, _, err := s.head(ctx)
+	head, _, err := s.readHead(ctx)
 	return head, err
 }
 
-// Version returns the version of the tree as it stands. It reads a row of a
-// few bytes, so that asking often costs little.
+// Version returns the version of the current tree. It reads a row of a few
+// bytes, so it is cheap to poll.
 func (s *Store) Version(ctx context.Context) (uint64, error) {
 	rows, err := s.Table.Get(ctx, versionKey)
 	if err != nil || rows[0].Version == 0 {
@@ -77,12 +78,12 @@
 	}
 	version, err := strconv.ParseUint(string(rows[0].Value), 10, 64)
 	if err != nil {
-		return 0, kind.Wrap(kind.Internal, err, "the row of the tree's version is damaged")
+		return 0, kind.Wrap(kind.Internal, err, "the row tree/version is damaged")
 	}
 	return version, nil
 }
 
-func (s *Store) head(ctx context.Context) (Head, uint64, error) {
+func (s *Store) readHead(ctx context.Context) (Head, uint64, error) {
 	rows, err := s.Table.Get(ctx, headKey)
 	if err != nil {
 		return Head{}, 0, err
@@ -97,7 +98,8 @@
 	return head, rows[0].Version, nil
 }
 
-// Log returns up to limit accepted edits after a version, in order.
+// Log returns up to limit accepted edits with versions higher than after, in
+// order.
 func (s *Store) Log(ctx context.Context, after uint64, limit int) ([]Entry, error) {
 	rows, err := s.Table.Scan(ctx, logPrefix, logKey(after), limit)
 	if err != nil {
@@ -114,37 +116,38 @@
 	return entries, nil
 }
 
-// Apply makes an edit and returns the tree with it. An edit whose ID was
-// accepted before is not made again: its entry comes back. When the answer of
-// the table is lost, Apply reads back whether the edit took effect; only when
-// that cannot be found out either is its error of kind Lost.
+// Apply commits an edit and returns its log entry. If an edit with the same ID
+// was accepted before, Apply returns that entry and changes nothing. If the
+// table's reply is lost, Apply reads back whether the edit was committed; its
+// error is of kind Lost only if that read fails too.
 func (s *Store) Apply(ctx context.Context, e Edit) (Entry, error) {
-	for range maxRebases {
-		entry, done, err := s.try(ctx, e)
+	for range maxAttempts {
+		entry, done, err := s.applyOnce(ctx, e)
 		if done || err != nil {
 			return entry, err
 		}
 	}
-	return Entry{}, kind.New(kind.Conflict, "too many other edits at once")
+	return Entry{}, kind.New(kind.Conflict, "too many concurrent edits")
 }
 
-// try makes one attempt. It reports false when another edit came in between.
-func (s *Store) try(ctx context.Context, e Edit) (Entry, bool, error) {
-	if entry, ok, err := s.accepted(ctx, e.ID); ok || err != nil {
+// applyOnce makes one attempt to commit an edit. It returns false without an
+// error if another edit was committed first.
+func (s *Store) applyOnce(ctx context.Context, e Edit) (Entry, bool, error) {
+	if entry, ok, err := s.acceptedEntry(ctx, e.ID); ok || err != nil {
 		return entry, ok, err
 	}
-	head, row, err := s.head(ctx)
+	head, row, err := s.readHead(ctx)
 	if err != nil {
 		return Entry{}, false, err
 	}
-	if err := s.rebase(ctx, e, head); err != nil {
+	if err := s.checkConflicts(ctx, e, head); err != nil {
 		return Entry{}, false, err
 	}
-	entry, next, err := s.prepare(e, head)
+	entry, next, err := s.prepareEntry(e, head)
 	if err != nil {
 		return Entry{}, false, err
 	}
-	txn, err := edited(entry, next, row)
+	txn, err := editTxn(entry, next, row)
 	if err != nil {
 		return Entry{}, false, err
 	}
@@ -155,19 +158,20 @@
 	return entry, err == nil && len(res.Failed) == 0, err
 }
 
-// readBack finds out what became of an edit whose answer was lost. When it is
-// not there, its transaction may still arrive: trying again is safe, because
-// both carry the same edit id and only one of them can be committed.
+// readBack determines whether an edit was committed after the table's reply was
+// lost. If it was not, its transaction may still arrive later. Sending it again
+// is safe, because both copies have the same edit ID and only one of them can
+// be committed.
 func (s *Store) readBack(ctx context.Context, e Edit, lost error) (Entry, bool, error) {
-	entry, ok, err := s.accepted(ctx, e.ID)
+	entry, ok, err := s.acceptedEntry(ctx, e.ID)
 	if err != nil {
 		return Entry{}, false, kind.Wrap(kind.Lost, lost, "the edit may have been accepted").Uncertain(e.ID)
 	}
 	return entry, ok, nil
 }
 
-func (s *Store) accepted(ctx context.Context, id string) (Entry, bool, error) {
-	rows, err := s.Table.Get(ctx, idPrefix+id)
+func (s *Store) acceptedEntry(ctx context.Context, id string) (Entry, bool, error) {
+	rows, err := s.Table.Get(ctx, editPrefix+id)
 	if err != nil {
 		return Entry{}, false, err
 	}
@@ -181,14 +185,15 @@
 	return e, true, nil
 }
 
-// rebase returns a conflict if an edit after e.Base touched the same paths.
-func (s *Store) rebase(ctx context.Context, e Edit, head Head) error {
+// checkConflicts returns an error of kind Conflict if an edit after e.Base
+// changed a path that e changes as well.
+func (s *Store) checkConflicts(ctx context.Context, e Edit, head Head) error {
 	if e.Base > head.Version {
 		return kind.New(kind.Conflict, fmt.Sprintf("version %d does not exist; the tree is at %d", e.Base, head.Version))
 	}
 	after := e.Base
 	for after < head.Version {
-		entries, err := s.Log(ctx, after, logPage)
+		entries, err := s.Log(ctx, after, logPageSize)
 		if err != nil {
 			return err
 		}
@@ -196,7 +201,7 @@
 			return nil
 		}
 		for _, other := range entries {
-			if err := collide(e, other); err != nil {
+			if err := checkOverlap(e, other); err != nil {
 				return err
 			}
 			after = other.Version
@@ -205,7 +210,7 @@
 	return nil
 }
 
-func collide(e Edit, other Entry) error {
+func checkOverlap(e Edit, other Entry) error {
 	for _, mine := range e.Ops {
 		p, err := ParsePath(mine.Path)
 		if err != nil {
@@ -217,21 +222,21 @@
 				continue
 			}
 			detail := fmt.Sprintf("version %d set %s to %s; this edit, made on version %d, sets %s to %s",
-				other.Version, theirs.Path, shown(theirs.Value), e.Base, mine.Path, shown(mine.Value))
+				other.Version, theirs.Path, formatValue(theirs.Value), e.Base, mine.Path, formatValue(mine.Value))
 			return kind.At(kind.Conflict, mine.Path, detail)
 		}
 	}
 	return nil
 }
 
-func shown(v json.RawMessage) string {
+func formatValue(v json.RawMessage) string {
 	if len(v) == 0 {
 		return "(unset)"
 	}
 	return string(v)
 }
 
-func (s *Store) prepare(e Edit, head Head) (Entry, *Doc, error) {
+func (s *Store) prepareEntry(e Edit, head Head) (Entry, *Doc, error) {
 	var doc Doc
 	if err := json.Unmarshal(head.Doc, &doc); err != nil {
 		return Entry{}, nil, kind.Wrap(kind.Internal, err, "the tree's row is damaged")
@@ -244,16 +249,16 @@
 	return entry, next, nil
 }
 
-func edited(entry Entry, doc *Doc, row uint64) (ports.Txn, error) {
+func editTxn(entry Entry, doc *Doc, headVersion uint64) (ports.Txn, error) {
 	rawDoc, errDoc := json.Marshal(doc)
 	rawHead, errHead := json.Marshal(Head{Version: entry.Version, Doc: rawDoc})
 	rawEntry, errEntry := json.Marshal(entry)
 	if err := errors.Join(errDoc, errHead, errEntry); err != nil {
 		return ports.Txn{}, kind.Wrap(kind.Internal, err, "encode")
 	}
-	id := idPrefix + entry.Edit.ID
+	id := editPrefix + entry.Edit.ID
 	return ports.Txn{
-		Checks: []ports.Check{{Key: headKey, Version: row}, {Key: id}},
+		Checks: []ports.Check{{Key: headKey, Version: headVersion}, {Key: id}},
 		Puts: []ports.Put{
 			{Key: headKey, Value: rawHead},
 			{Key: versionKey, Value: strconv.AppendUint(nil, entry.Version, 10)},
@@ -263,36 +268,37 @@
 	}, nil
 }
 
-// Register holds the tree in force at one instance. Its zero value holds the
+// Register holds the tree in force at one instance. The zero value holds the
 // empty tree with version 0.
 type Register struct {
-	mu  sync.RWMutex
-	now *Compiled
+	mu      sync.RWMutex
+	current *Compiled
 }
 
 // Now returns the tree in force.
 func (r *Register) Now() *Compiled {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
-	if r.now == nil {
+	if r.current == nil {
 		return &Compiled{Doc: &Doc{}}
 	}
-	return r.now
+	return r.current
 }
 
-// Install puts a tree in force if its version is higher than the one that is,
-// and reports whether it did.
+// Install makes c the tree in force if its version is higher than the current
+// one, and reports whether it did.
 func (r *Register) Install(c *Compiled) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.now != nil && c.Version <= r.now.Version {
+	if r.current != nil && c.Version <= r.current.Version {
 		return false
 	}
-	r.now = c
+	r.current = c
 	return true
 }
 
-// InstallHead checks and compiles a head and installs it.
+// InstallHead parses, compiles and installs the tree of a head row, and reports
+// whether it was installed.
 func (r *Register) InstallHead(h Head) (bool, error) {
 	if h.Version <= r.Now().Version {
 		return false, nil
--- a/tree/tree.go
+++ b/tree/tree.go
@@ -28,23 +28,23 @@
 	Branch
 }
 
-// Parse checks a document and returns it. All of its faults are in the error,
-// whose kind is BadTree.
+// Parse validates a document and returns it. The error, of kind BadTree, lists
+// every fault that was found.
 func Parse(raw []byte) (*Doc, error) {
 	if faults := docSchema.Check(raw); len(faults) > 0 {
-		return nil, badTree(faults)
+		return nil, badTreeError(faults)
 	}
 	var d Doc
 	if err := json.Unmarshal(raw, &d); err != nil {
 		return nil, kind.Wrap(kind.BadTree, err, "decode")
 	}
-	if _, faults := compile(&d, 0); len(faults) > 0 {
-		return nil, badTree(faults)
+	if _, faults := compileDoc(&d, 0); len(faults) > 0 {
+		return nil, badTreeError(faults)
 	}
 	return &d, nil
 }
 
-func badTree(faults []schema.Fault) error {
+func badTreeError(faults []schema.Fault) error {
 	return kind.At(kind.BadTree, faults[0].Path, schema.Join(faults))
 }
 
@@ -59,7 +59,7 @@
 		out.set(k, v)
 	}
 	for k, v := range b.Branches {
-		out.child(k, v.clone())
+		out.setChild(k, v.clone())
 	}
 	return out
 }
@@ -71,7 +71,7 @@
 	b.Settings[name] = v
 }
 
-func (b *Branch) child(name string, c *Branch) {
+func (b *Branch) setChild(name string, c *Branch) {
 	if b.Branches == nil {
 		b.Branches = make(map[string]*Branch)
 	}
@@ -80,17 +80,17 @@
 
 // Path names a branch, or one of its settings.
 type Path struct {
-	// Branch lists the names from the root down.
+	// Branch lists the branch names from the root down.
 	Branch []string
-	// Setting is "" for the branch as a whole.
+	// Setting is "" if the path names the whole branch.
 	Setting string
 }
 
-// ParsePath reads a path such as "tinting/shade-lookup.deadline".
+// ParsePath parses a path such as "tinting/shade-lookup.deadline".
 func ParsePath(s string) (Path, error) {
 	branch, setting, dotted := strings.Cut(s, ".")
 	if dotted && setting == "" {
-		return Path{}, kind.At(kind.BadRequest, s, "a setting's name must follow the dot")
+		return Path{}, kind.At(kind.BadRequest, s, "missing setting name after the dot")
 	}
 	p := Path{Setting: setting}
 	if branch == "" {
@@ -98,14 +98,14 @@
 	}
 	for _, name := range strings.Split(branch, "/") {
 		if name == "" {
-			return Path{}, kind.At(kind.BadRequest, s, "a branch's name is empty")
+			return Path{}, kind.At(kind.BadRequest, s, "empty branch name")
 		}
 		p.Branch = append(p.Branch, name)
 	}
 	return p, nil
 }
 
-// String returns p as ParsePath reads it.
+// String returns p in the form that ParsePath accepts.
 func (p Path) String() string {
 	s := strings.Join(p.Branch, "/")
 	if p.Setting != "" {
@@ -114,8 +114,7 @@
 	return s
 }
 
-// Overlaps reports whether a change at p and one at o can touch the same
-// value.
+// Overlaps reports whether edits at p and at o could change the same value.
 func (p Path) Overlaps(o Path) bool {
 	n := min(len(p.Branch), len(o.Branch))
 	for i := range n {
@@ -133,8 +132,9 @@
 	}
 }
 
-// find returns the branch at p, or nil. With create it adds what is missing.
-func (d *Doc) find(names []string, create bool) *Branch {
+// findBranch returns the branch with the given names from the root, or nil. If
+// create is true, missing branches are added.
+func (d *Doc) findBranch(names []string, create bool) *Branch {
 	b := &d.Branch
 	for _, name := range names {
 		next := b.Branches[name]
@@ -143,16 +143,17 @@
 		}
 		if next == nil {
 			next = &Branch{}
-			b.child(name, next)
+			b.setChild(name, next)
 		}
 		b = next
 	}
 	return b
 }
 
-// Get returns the JSON of what is set at p itself, nil if nothing is.
+// Get returns the JSON of the setting or branch at p, nil if it is not set.
+// Inherited settings are not included.
 func (d *Doc) Get(p Path) json.RawMessage {
-	b := d.find(p.Branch, false)
+	b := d.findBranch(p.Branch, false)
 	if b == nil {
 		return nil
 	}
@@ -166,17 +167,18 @@
 	return raw
 }
 
-// Op is one step of an edit. A nil Value unsets.
+// Op is one operation of an edit: it sets the value at Path, or removes it if
+// Value is nil.
 type Op struct {
 	Path  string          `json:"path"`
 	Value json.RawMessage `json:"value,omitempty"`
 }
 
-// Apply carries out ops on a copy of d, which it checks and returns.
+// Apply performs ops on a copy of d, and validates and returns the copy.
 func (d *Doc) Apply(ops []Op) (*Doc, error) {
 	out := d.Clone()
 	for _, op := range ops {
-		if err := out.apply(op); err != nil {
+		if err := out.applyOp(op); err != nil {
 			return nil, err
 		}
 	}
@@ -187,7 +189,7 @@
 	return Parse(raw)
 }
 
-func (d *Doc) apply(op Op) error {
+func (d *Doc) applyOp(op Op) error {
 	p, err := ParsePath(op.Path)
 	if err != nil {
 		return err
@@ -196,20 +198,20 @@
 		return d.unset(p)
 	}
 	if p.Setting != "" {
-		d.find(p.Branch, true).set(p.Setting, op.Value)
+		d.findBranch(p.Branch, true).set(p.Setting, op.Value)
 		return nil
 	}
 	return d.setBranch(p, op.Value)
 }
 
 func (d *Doc) unset(p Path) error {
-	b := d.find(p.Branch, false)
+	b := d.findBranch(p.Branch, false)
 	if b == nil {
 		return kind.At(kind.NotFound, p.String(), "no such branch")
 	}
 	if p.Setting != "" {
 		if b.Settings[p.Setting] == nil {
-			return kind.At(kind.NotFound, p.String(), "not set here")
+			return kind.At(kind.NotFound, p.String(), "the branch does not set this setting")
 		}
 		delete(b.Settings, p.Setting)
 		return nil
@@ -218,13 +220,13 @@
 		return kind.At(kind.BadRequest, "", "the root cannot be unset")
 	}
 	last := len(p.Branch) - 1
-	delete(d.find(p.Branch[:last], false).Branches, p.Branch[last])
+	delete(d.findBranch(p.Branch[:last], false).Branches, p.Branch[last])
 	return nil
 }
 
 func (d *Doc) setBranch(p Path, value json.RawMessage) error {
 	if faults := docSchema.Check(value); len(faults) > 0 {
-		return badTree(faults)
+		return badTreeError(faults)
 	}
 	var b Branch
 	if err := json.Unmarshal(value, &b); err != nil {
@@ -235,7 +237,7 @@
 		return nil
 	}
 	last := len(p.Branch) - 1
-	d.find(p.Branch[:last], true).child(p.Branch[last], &b)
+	d.findBranch(p.Branch[:last], true).setChild(p.Branch[last], &b)
 	return nil
 }
 
@@ -246,26 +248,26 @@
 	To   json.RawMessage `json:"to,omitempty"`
 }
 
-// Diff returns what changes from a to b, in the order of the paths.
+// Diff returns the changes that turn a into b, sorted by path.
 func Diff(a, b *Doc) []Change {
-	out := diff(Path{}, &a.Branch, &b.Branch, nil)
+	out := diffBranch(Path{}, &a.Branch, &b.Branch, nil)
 	sort.Slice(out, func(i, j int) bool { return out[i].Path < out[j].Path })
 	return out
 }
 
-func diff(at Path, a, b *Branch, out []Change) []Change {
-	for name := range union(a.Settings, b.Settings) {
+func diffBranch(path Path, a, b *Branch, out []Change) []Change {
+	for name := range unionOfKeys(a.Settings, b.Settings) {
 		from, to := a.Settings[name], b.Settings[name]
 		if string(from) == string(to) {
 			continue
 		}
-		p := Path{Branch: at.Branch, Setting: name}
+		p := Path{Branch: path.Branch, Setting: name}
 		out = append(out, Change{Path: p.String(), From: from, To: to})
 	}
-	for name := range union(a.Branches, b.Branches) {
+	for name := range unionOfKeys(a.Branches, b.Branches) {
 		from, to := orEmpty(a.Branches[name]), orEmpty(b.Branches[name])
-		names := append(at.Branch[:len(at.Branch):len(at.Branch)], name)
-		out = diff(Path{Branch: names}, from, to, out)
+		names := append(path.Branch[:len(path.Branch):len(path.Branch)], name)
+		out = diffBranch(Path{Branch: names}, from, to, out)
 	}
 	return out
 }
@@ -277,7 +279,7 @@
 	return b
 }
 
-func union[V any](a, b map[string]V) map[string]bool {
+func unionOfKeys[V any](a, b map[string]V) map[string]bool {
 	out := make(map[string]bool, len(a)+len(b))
 	for k := range a {
 		out[k] = true
--- a/tree/tree_test.go
+++ b/tree/tree_test.go
@@ -26,7 +26,7 @@
 	RunSpecs(t, "tree")
 }
 
-const small = `{
+const sampleDoc = `{
   "settings": {"kind": "call", "cpu": "500m", "memory": "1GiB", "deadline": "2s"},
   "branches": {
     "a": {"settings": {"class": "urgent", "quota": {"cpu": "8"}}, "branches": {"x": {}, "y": {"settings": {"cpu": "2"}}}},
@@ -41,8 +41,8 @@
 }
 
 var _ = Describe("a document", func() {
-	It("resolves each value with the branch that it came from", func() {
-		c, err := tree.Compile(parse(small), 7)
+	It("resolves each value and reports the branch that sets it", func() {
+		c, err := tree.Compile(parse(sampleDoc), 7)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(c.Names()).To(Equal([]string{"a/x", "a/y", "b"}))
 		y := c.Workloads["a/y"]
@@ -56,7 +56,7 @@
 		Expect(c.Workloads["a/x"].Demand[sched.MilliCPU]).To(BeEquivalentTo(500))
 	})
 
-	It("accepts the examples", func() {
+	It("is accepted in each of the example files", func() {
 		for _, name := range []string{"comhar-dathanna", "kartvela"} {
 			raw, err := os.ReadFile("../examples/" + name + ".json")
 			Expect(err).NotTo(HaveOccurred())
@@ -64,7 +64,7 @@
 		}
 	})
 
-	DescribeTable("names the path of each fault",
+	DescribeTable("is refused with the path of each fault",
 		func(raw string, paths ...string) {
 			_, err := tree.Parse([]byte(raw))
 			Expect(kind.Is(err, kind.BadTree)).To(BeTrue())
@@ -77,16 +77,16 @@
 		Entry("a wrong unit", `{"branches":{"a":{"settings":{"memory":"5GB"}}}}`, "/branches/a/settings/memory"),
 		Entry("out of range", `{"settings":{"connections":65}}`, "/settings/connections"),
 		Entry("a wrong type", `{"settings":{"queue":"ten"}}`, "/settings/queue"),
-		Entry("no such zone", `{"settings":{"kind":"batch","cpu":"1","memory":"1GiB","window":{"from":"06:00","to":"07:00","zone":"Asia/Tiflis2"}},"branches":{"a":{}}}`, "/branches/a/settings/window"),
-		Entry("a reference to no hall", `{"settings":{"halls":["h1"],"lost":["h2"]}}`, "/settings/lost", "h2"),
-		Entry("a setting of the root elsewhere", `{"branches":{"a":{"settings":{"halls":["h1"]}}}}`, "/branches/a/settings/halls"),
+		Entry("an unknown time zone", `{"settings":{"kind":"batch","cpu":"1","memory":"1GiB","window":{"from":"06:00","to":"07:00","zone":"Asia/Tiflis2"}},"branches":{"a":{}}}`, "/branches/a/settings/window"),
+		Entry("a reference to an unknown hall", `{"settings":{"halls":["h1"],"lost":["h2"]}}`, "/settings/lost", "h2"),
+		Entry("a root-only setting in a branch", `{"branches":{"a":{"settings":{"halls":["h1"]}}}}`, "/branches/a/settings/halls"),
 		Entry("a call without a deadline", `{"branches":{"a":{"settings":{"kind":"call","cpu":"1","memory":"1GiB"}}}}`, "/branches/a"),
 		Entry("three faults at once", `{"settings":{"queue":0,"class":"big","cpu":"x"}}`, "/settings/queue", "/settings/class", "/settings/cpu"),
 	)
 
-	It("gives the same document after a diff is applied", func() {
+	It("equals another one once the diff between the two is applied", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
-			doc := parse(small)
+			doc := parse(sampleDoc)
 			names := []string{"a.class", "a/x.cpu", "a/y.cpu", "b.memory", ".deadline"}
 			values := map[string][]string{
 				"a.class": {`"bulk"`, `"urgent"`}, "a/x.cpu": {`"1"`, `"3"`}, "a/y.cpu": {`"1"`, `"4"`},
@@ -135,7 +135,7 @@
 })
 
 var _ = Describe("a window", func() {
-	It("goes past midnight and follows the wall clock when clocks change", func() {
+	It("extends past midnight and follows the wall clock across daylight saving changes", func() {
 		raw := `{"settings":{"kind":"batch","cpu":"1","memory":"1GiB","window":{"from":"20:00","to":"06:00","zone":"Europe/Dublin"}},"branches":{"n":{}}}`
 		c, err := tree.Compile(parse(raw), 1)
 		Expect(err).NotTo(HaveOccurred())
@@ -145,7 +145,7 @@
 		from, to := w.Next(time.Date(2026, 3, 29, 2, 30, 0, 0, dublin))
 		Expect(from.In(dublin).Format("02 15:04")).To(Equal("28 20:00"))
 		Expect(to.In(dublin).Format("02 15:04")).To(Equal("29 06:00"))
-		Expect(to.Sub(from)).To(Equal(9*time.Hour), "an hour is skipped in this night")
+		Expect(to.Sub(from)).To(Equal(9*time.Hour), "the clocks skip an hour in this night")
 		from, _ = w.Next(time.Date(2026, 3, 29, 12, 0, 0, 0, dublin))
 		Expect(from.In(dublin).Format("02 15:04")).To(Equal("29 20:00"))
 	})
@@ -159,11 +159,11 @@
 	BeforeEach(func(ctx context.Context) {
 		table = standin.NewLocal()
 		store = tree.Store{Table: table, Now: time.Now}
-		_, err := store.Apply(ctx, tree.Edit{ID: "first", Ops: []tree.Op{op("", small)}})
+		_, err := store.Apply(ctx, tree.Edit{ID: "first", Ops: []tree.Op{op("", sampleDoc)}})
 		Expect(err).NotTo(HaveOccurred())
 	})
 
-	It("rebases an edit of another path", func(ctx context.Context) {
+	It("accepts an edit on an old version if only other paths have changed", func(ctx context.Context) {
 		_, err := store.Apply(ctx, tree.Edit{ID: "e1", Base: 1, Ops: []tree.Op{op("a.class", `"bulk"`)}})
 		Expect(err).NotTo(HaveOccurred())
 		entry, err := store.Apply(ctx, tree.Edit{ID: "e2", Base: 1, Ops: []tree.Op{op("b.cpu", `"3"`)}})
@@ -171,7 +171,7 @@
 		Expect(entry.Version).To(BeEquivalentTo(3))
 	})
 
-	It("refuses an edit of the same path and shows both", func(ctx context.Context) {
+	It("refuses an edit on an old version if the same path has changed, and shows both values", func(ctx context.Context) {
 		_, err := store.Apply(ctx, tree.Edit{ID: "e1", Base: 1, Ops: []tree.Op{op("a.class", `"bulk"`)}})
 		Expect(err).NotTo(HaveOccurred())
 		_, err = store.Apply(ctx, tree.Edit{ID: "e2", Base: 1, Ops: []tree.Op{op("a.class", `"standard"`)}})
@@ -179,7 +179,7 @@
 		Expect(err.Error()).To(And(ContainSubstring(`"bulk"`), ContainSubstring(`"standard"`), ContainSubstring("a.class")))
 	})
 
-	It("makes an edit once though the answer of the table is lost", func(ctx context.Context) {
+	It("commits an edit once if the table's reply is lost", func(ctx context.Context) {
 		lost := 0
 		table.Set(func(l *standin.Local) {
 			l.After = func(ports.Txn) error {
@@ -198,7 +198,7 @@
 		Expect(again.Version).To(Equal(entry.Version))
 	})
 
-	It("keeps every accepted edit of operators that race", func(ctx context.Context) {
+	It("keeps every accepted edit when operators edit concurrently", func(ctx context.Context) {
 		results := make(chan error)
 		const editors = 8
 		for i := range editors {
@@ -216,23 +216,23 @@
 		Expect(head.Version).To(BeEquivalentTo(1 + editors))
 	})
 
-	It("never reverts a register", func() {
+	It("never installs a lower version in a register", func() {
 		var r tree.Register
 		install := func(v uint64) bool {
-			ok, err := r.InstallHead(tree.Head{Version: v, Doc: json.RawMessage(small)})
+			ok, err := r.InstallHead(tree.Head{Version: v, Doc: json.RawMessage(sampleDoc)})
 			Expect(err).NotTo(HaveOccurred())
 			return ok
 		}
 		Expect(install(3)).To(BeTrue())
 		Expect(install(2)).To(BeFalse())
 		Expect(install(3)).To(BeFalse())
-		Expect(r.Install(&tree.Compiled{Version: 2})).To(BeFalse(), "also past the first look")
+		Expect(r.Install(&tree.Compiled{Version: 2})).To(BeFalse(), "also without the version check of InstallHead")
 		Expect(r.Now().Version).To(BeEquivalentTo(3))
 	})
 })
 
 func FuzzParse(f *testing.F) {
-	f.Add([]byte(small))
+	f.Add([]byte(sampleDoc))
 	f.Add([]byte(`{"settings":{"window":{"from":"20:00","to":"06:00","zone":"UTC"}}}`))
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		d, err := tree.Parse(raw)
@@ -244,7 +244,7 @@
 			t.Fatal(err)
 		}
 		if _, err := tree.Parse(again); err != nil {
-			t.Fatalf("accepted, but not after it was written again: %v", err)
+			t.Fatalf("accepted, but refused once re-encoded: %v", err)
 		}
 	})
 }
--- a/tree/window.go
+++ b/tree/window.go
@@ -6,13 +6,13 @@
 	"encoding/json"
 	"strings"
 	"time"
-	_ "time/tzdata" // Entry instances have no disk to load time zones from.
+	_ "time/tzdata" // Entry instances have no file system with time zone data.
 
 	"github.com/go-faster/errors"
 )
 
 // Window is the part of the day in which a workload may start, in the
-// operator's time zone. A window whose end is before its start goes past
+// operator's time zone. A window whose end is before its start extends past
 // midnight.
 type Window struct {
 	from, to time.Duration
@@ -36,7 +36,7 @@
 	if err != nil {
 		return nil, errors.Wrapf(err, "zone %q", in.Zone)
 	}
-	w := &Window{from: clock(in.From), to: clock(in.To), zone: zone}
+	w := &Window{from: parseTimeOfDay(in.From), to: parseTimeOfDay(in.To), zone: zone}
 	if w.from == w.to {
 		return nil, errors.New("from and to are the same")
 	}
@@ -46,7 +46,7 @@
 	return w, nil
 }
 
-func clock(s string) time.Duration {
+func parseTimeOfDay(s string) time.Duration {
 	t, err := time.Parse("15:04", s)
 	if err != nil {
 		return 0
@@ -54,17 +54,17 @@
 	return time.Duration(t.Hour())*time.Hour + time.Duration(t.Minute())*time.Minute
 }
 
-// Next returns the window that now falls into, or the next one to come. The
-// hours are those of the wall clock, also on days when it is put forward or
-// back.
+// Next returns the window that contains now, or else the next one. The times
+// are wall-clock times, also on days with a change to or from daylight saving
+// time.
 func (w *Window) Next(now time.Time) (from, to time.Time) {
 	local := now.In(w.zone)
-	// A window that began yesterday may still be open.
+	// A window that started yesterday may still be open.
 	for day := -1; day <= 7; day++ {
-		from = w.at(local, day, w.from)
-		to = w.at(local, day, w.to)
+		from = w.timeOn(local, day, w.from)
+		to = w.timeOn(local, day, w.to)
 		if w.to < w.from {
-			to = w.at(local, day+1, w.to)
+			to = w.timeOn(local, day+1, w.to)
 		}
 		if w.days[from.Weekday()] && now.Before(to) {
 			return from, to
@@ -73,7 +73,7 @@
 	return from, to
 }
 
-func (w *Window) at(t time.Time, day int, clock time.Duration) time.Time {
+func (w *Window) timeOn(t time.Time, day int, clock time.Duration) time.Time {
 	hour, minute := int(clock/time.Hour), int(clock%time.Hour/time.Minute)
 	return time.Date(t.Year(), t.Month(), t.Day()+day, hour, minute, 0, 0, w.zone)
 }
