--- a/ports/doc.go
+++ b/ports/doc.go
@@ -1,21 +1,24 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package ports is the only way to what the platform gives: its table,
-// its object store, its list of instances, and its workers.
+// Package ports defines the interfaces to the services of the platform (its
+// table, its object store, its list of instances and its workers) and the
+// clients that implement them. No other package calls these services directly.
 //
-// Each has one small interface here and one adapter that speaks the platform's
-// HTTP protocol; docs/PLATFORM.md writes that protocol down. The adapters pass
-// the caller's deadline on, slow down when the platform says that it is too
-// fast (a rate that grows by addition and shrinks by halves), and stop asking
-// for a moment when it does not answer at all (a breaker).
+// Each service has one small interface and one client that speaks the
+// platform's HTTP protocol; docs/PLATFORM.md specifies that protocol. The
+// clients honour the caller's deadline. The platform's clients also adapt their
+// rate when a service answers that it is too high (additive increase,
+// multiplicative decrease), and pause calls to a service that does not answer
+// (circuit breaker).
 //
-// What each interface promises is what the rest of dewpass rests on:
+// The rest of dewpass relies on these guarantees:
 //
-//   - Table.Commit is a transaction: all of its checks hold and all of its
-//     rows are written, or nothing happened. An error of kind Lost means that
-//     nobody can tell which.
+//   - Table.Commit is a transaction: either all of its checks hold and all of
+//     its rows are written, or it has no effect. An error of kind Lost means
+//     that the outcome is unknown.
 //   - Worker commands carry an epoch and the worker's incarnation. A worker
-//     refuses a lower epoch and another incarnation, and answers Attach with
-//     all that it runs. This is the fence that makes a paused owner harmless.
-//   - Instances is a hint that may lag or be wrong.
+//     refuses a lower epoch and a different incarnation, and answers Attach with
+//     all tasks that it runs. This fencing keeps an owner that was paused from
+//     doing harm when it resumes.
+//   - Instances is a hint that may be out of date or wrong.
 package ports
--- a/ports/gate.go
+++ b/ports/gate.go
@@ -14,94 +14,97 @@
 )
 
 const (
-	startRate    = 200
-	minRate      = 2
-	maxRate      = 5000
-	rateStep     = 2
-	rateBurst    = 64
-	breakAfter   = 5
-	breakerPause = time.Second
+	initialRate      = 200
+	minRate          = 2
+	maxRate          = 5000
+	rateIncrement    = 2
+	rateBurst        = 64
+	breakerThreshold = 5
+	breakerPause     = time.Second
 )
 
-// gate paces the calls to one service of the platform: its rate grows by
-// addition while calls succeed and halves when the service says that it is
-// too fast, and a breaker refuses calls for a moment after a row of failures.
-type gate struct {
-	mu      sync.Mutex
-	limit   float64
-	cut     time.Time
-	limiter *rate.Limiter
-	breaker *gobreaker.TwoStepCircuitBreaker[any]
+// callLimiter limits the calls to one service of the platform. Its rate grows
+// by a constant while calls succeed and halves when the service answers that
+// the rate is too high. After several consecutive failures a circuit breaker
+// refuses calls for breakerPause.
+type callLimiter struct {
+	mu           sync.Mutex
+	currentRate  float64
+	lastDecrease time.Time
+	limiter      *rate.Limiter
+	breaker      *gobreaker.TwoStepCircuitBreaker[any]
 }
 
-func newGate(name string) *gate {
-	return &gate{
-		limit:   startRate,
-		limiter: rate.NewLimiter(startRate, rateBurst),
+func newCallLimiter(name string) *callLimiter {
+	return &callLimiter{
+		currentRate: initialRate,
+		limiter:     rate.NewLimiter(initialRate, rateBurst),
 		breaker: gobreaker.NewTwoStepCircuitBreaker[any](gobreaker.Settings{
 			Name:    name,
 			Timeout: breakerPause,
 			ReadyToTrip: func(c gobreaker.Counts) bool {
-				return c.ConsecutiveFailures >= breakAfter
+				return c.ConsecutiveFailures >= breakerThreshold
 			},
 		}),
 	}
 }
 
-// enterWrite is enter for a call that changes something. It never is the one
-// by which the breaker finds out whether the service is back: the fate of a
-// write that gets no answer is unknown, and a read that gets none harms nobody.
-func (g *gate) enterWrite(ctx context.Context) (func(error), error) {
+// acquireForWrite is acquire for a call that changes something. It fails unless
+// the breaker is closed, so that only reads probe whether the service is back:
+// the outcome of a write without a reply is unknown, while a read without one
+// does no harm.
+func (g *callLimiter) acquireForWrite(ctx context.Context) (func(error), error) {
 	if g.breaker.State() != gobreaker.StateClosed {
-		return nil, silent(gobreaker.ErrOpenState)
+		return nil, breakerOpenError(gobreaker.ErrOpenState)
 	}
-	return g.enter(ctx)
+	return g.acquire(ctx)
 }
 
-func silent(cause error) error {
-	return kind.Wrap(kind.Unavailable, cause, "the platform did not answer of late").After(breakerPause)
+func breakerOpenError(cause error) error {
+	return kind.Wrap(kind.Unavailable, cause, "circuit breaker open: recent calls to the platform got no answer").After(breakerPause)
 }
 
-// enter waits for the rate and the breaker. The function it returns must be
-// called with the error of the call.
-func (g *gate) enter(ctx context.Context) (func(error), error) {
+// acquire checks the breaker and waits for the rate limit. The caller must call
+// the returned function with the error of the call.
+func (g *callLimiter) acquire(ctx context.Context) (func(error), error) {
 	done, err := g.breaker.Allow()
 	if err != nil {
-		return nil, silent(err)
+		return nil, breakerOpenError(err)
 	}
 	if err := g.limiter.Wait(ctx); err != nil {
 		done(nil)
-		return nil, kind.Wrap(kind.Unavailable, err, "the platform's rate limit leaves no room before the deadline")
+		return nil, kind.Wrap(kind.Unavailable, err, "rate limit for calls to the platform: no call possible before the deadline")
 	}
 	return func(err error) {
-		g.adapt(err)
-		done(outage(err))
+		g.adaptRate(err)
+		done(outageError(err))
 	}, nil
 }
 
-// outage returns err if it speaks of a service that does not answer.
-func outage(err error) error {
+// outageError returns err if it means that the service does not answer, else
+// nil.
+func outageError(err error) error {
 	if kind.Is(err, kind.Unavailable) || kind.Is(err, kind.Lost) {
 		return err
 	}
 	return nil
 }
 
-func (g *gate) adapt(err error) {
+func (g *callLimiter) adaptRate(err error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if !kind.Is(err, kind.RateLimited) {
 		if err == nil {
-			g.limit = min(g.limit+rateStep, maxRate)
-			g.limiter.SetLimit(rate.Limit(g.limit))
+			g.currentRate = min(g.currentRate+rateIncrement, maxRate)
+			g.limiter.SetLimit(rate.Limit(g.currentRate))
 		}
 		return
 	}
-	// One cut a second: the answers of one burst speak of the same excess.
-	if time.Since(g.cut) < time.Second {
+	// Halve at most once a second: the refusals of one burst have the same cause.
+	if time.Since(g.lastDecrease) < time.Second {
 		return
 	}
-	g.cut = time.Now()
-	g.limit = max(g.limit/2, minRate)
-	g.limiter.SetLimit(rate.Limit(g.limit))
+	g.lastDecrease = time.Now()
+	g.currentRate = max(g.currentRate/2, minRate)
+	g.limiter.SetLimit(rate.Limit(g.currentRate))
 }
--- a/ports/platform_test.go
+++ b/ports/platform_test.go
@@ -49,10 +49,10 @@
 		}
 		Eventually(func() error { return commit() }).Should(Satisfy(func(err error) bool {
 			return kind.Is(err, kind.Unavailable)
-		}), "the breaker opens")
+		}), "the breaker should open")
 		before := writes.Load()
 		Consistently(commit, 3*time.Second, 50*time.Millisecond).ShouldNot(Succeed())
-		Expect(writes.Load()).To(Equal(before), "no write is sent to see whether the table is back")
+		Expect(writes.Load()).To(Equal(before), "no write should be sent to probe whether the table is back")
 		down.Store(false)
 		Eventually(read).Should(Succeed())
 		Expect(commit()).To(Succeed())
--- a/ports/silent_test.go
+++ b/ports/silent_test.go
@@ -16,11 +16,12 @@
 	"dewpass.org/test/mute"
 )
 
-// The connections to a worker went silent together, without a reset, while new ones
-// worked. Each call that timed out threw one away and the next took another one: four idle
-// ones cost 2 s each, more than half of a lease, in which the worker could not be reached.
-var _ = Describe("the connections to a worker that go silent", func() {
-	It("cost one call, and not one call each", func(ctx context.Context) {
+// Guards against a fault in which all idle connections to a worker stopped delivering at once,
+// without a reset, while new connections worked. Each call that timed out discarded only one
+// of them and the next call took another: four idle connections cost 2 s each, during which the
+// worker could not be reached for more than half of a lease.
+var _ = Describe("idle connections to a worker that stop delivering", func() {
+	It("fail one call in total, not one call each", func(ctx context.Context) {
 		const idle = 4
 		s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 			time.Sleep(50 * time.Millisecond)
--- a/ports/types.go
+++ b/ports/types.go
@@ -18,7 +18,7 @@
 	Version uint64 `json:"version"`
 }
 
-// Check is a condition of a transaction: the row has this version.
+// Check is a condition of a transaction: the row must have this version.
 type Check struct {
 	Key     string `json:"key"`
 	Version uint64 `json:"version"`
@@ -31,14 +31,14 @@
 	Delete bool   `json:"delete,omitempty"`
 }
 
-// Txn is a transaction.
+// Txn is a transaction: Puts are written only if all Checks hold.
 type Txn struct {
 	Checks []Check `json:"checks,omitempty"`
 	Puts   []Put   `json:"puts"`
 }
 
-// Commit is what became of a transaction: committed at Version, or the rows
-// whose checks failed, as they stand.
+// Commit is the result of a transaction: the version at which it was committed,
+// or the current state of the rows whose checks failed.
 type Commit struct {
 	Version uint64 `json:"version"`
 	Failed  []Row  `json:"failed,omitempty"`
@@ -46,15 +46,15 @@
 
 // Table is the platform's transactional table.
 //
-// Errors are of kind Unavailable when the call surely had no effect, and Lost
-// when it may have had one.
+// Errors are of kind Unavailable if the call certainly had no effect, and Lost
+// if it may have had one.
 type Table interface {
-	// Get returns the rows with the given keys, absent ones with version 0.
+	// Get returns the rows with the given keys. Absent rows have version 0.
 	Get(ctx context.Context, keys ...string) ([]Row, error)
-	// Scan returns up to limit rows whose key starts with prefix and comes
-	// after the given key, in order.
+	// Scan returns, in key order, up to limit rows whose key starts with prefix
+	// and sorts after the given key.
 	Scan(ctx context.Context, prefix, after string, limit int) ([]Row, error)
-	// Commit carries out a transaction.
+	// Commit executes a transaction.
 	Commit(ctx context.Context, t Txn) (Commit, error)
 }
 
@@ -64,14 +64,14 @@
 	PutObject(ctx context.Context, key string, body []byte) error
 	// GetObject returns the object under key, or an error of kind NotFound.
 	GetObject(ctx context.Context, key string) ([]byte, error)
-	// DeleteObject removes an object; one that is not there is no error.
+	// DeleteObject removes an object. It is no error if there is none.
 	DeleteObject(ctx context.Context, key string) error
 }
 
-// Role is what an instance is there for.
+// Role is the role of an instance.
 type Role string
 
-// The roles of the instance list.
+// The roles of instances.
 const (
 	RoleEntry  Role = "entry"
 	RoleWorker Role = "worker"
@@ -90,20 +90,20 @@
 // Listing is the list of instances at one version.
 type Listing struct {
 	Version string `json:"version"`
-	// Unchanged says that the list is the one at the version asked with; there
-	// are no instances in the answer then.
+	// Unchanged is true if the list still has the version that the request
+	// named. Instances is empty then.
 	Unchanged bool       `json:"unchanged,omitempty"`
 	Instances []Instance `json:"instances,omitempty"`
 }
 
-// Instances is the platform's list of instances. It lags.
+// Instances is the platform's list of instances. It may be out of date.
 type Instances interface {
-	// List returns the instances of a hall, or of all halls for "", unless
-	// the list is still at version since.
+	// List returns the instances of a hall, or of all halls if hall is "". If
+	// the list still has the version since, it returns only that.
 	List(ctx context.Context, hall, since string) (Listing, error)
 }
 
-// Repeat says whether a task may be run again.
+// Repeat says whether a task may run more than once.
 type Repeat string
 
 const (
@@ -113,7 +113,7 @@
 	RepeatNever Repeat = "never"
 )
 
-// Task is the work that a worker is asked to run.
+// Task is a unit of work that a worker runs.
 type Task struct {
 	ID       string          `json:"id"`
 	Attempt  uint32          `json:"attempt"`
@@ -130,7 +130,7 @@
 // TaskState is the state of a task at its worker.
 type TaskState string
 
-// The states of a task at its worker.
+// The task states.
 const (
 	TaskRunning      TaskState = "running"
 	TaskThrottled    TaskState = "throttled"
@@ -145,7 +145,8 @@
 	return s != TaskRunning && s != TaskThrottled
 }
 
-// Answer is the result of a task, with what tells a whole one from a cut one.
+// Answer is the result of a task. ID, Attempt, Length and Digest allow the
+// receiver to detect a truncated or misdirected answer.
 type Answer struct {
 	ID      string          `json:"id"`
 	Attempt uint32          `json:"attempt"`
@@ -154,7 +155,7 @@
 	Body    json.RawMessage `json:"body"`
 }
 
-// TaskReport is what a worker says of a task.
+// TaskReport is a worker's report on one task.
 type TaskReport struct {
 	Task   Task      `json:"task"`
 	State  TaskState `json:"state"`
@@ -165,14 +166,14 @@
 	RanMS int64 `json:"ran_ms"`
 }
 
-// Command is what every command to a worker carries.
+// Command holds the fields that every command to a worker carries.
 type Command struct {
 	Owner       string      `json:"owner"`
 	Epoch       lease.Epoch `json:"epoch"`
 	Incarnation string      `json:"incarnation,omitempty"`
 }
 
-// AttachReply is a worker's ground truth at the moment of attaching.
+// AttachReply is the state of a worker at the time of attaching.
 type AttachReply struct {
 	Worker      string       `json:"worker"`
 	Incarnation string       `json:"incarnation"`
@@ -183,8 +184,8 @@
 }
 
 // WatchRequest renews the control lease and the leases of all tasks, and asks
-// for the changes after Seq. The worker holds it for up to HoldMS while there
-// are none.
+// for the changes after Seq. If there are none, the worker delays its reply by
+// up to HoldMS.
 type WatchRequest struct {
 	Command
 	Seq     uint64 `json:"seq"`
@@ -192,19 +193,20 @@
 	HoldMS  int64  `json:"hold_ms"`
 }
 
-// WatchReply carries the changes since the sequence number asked for. A call
-// is among them only if its answer cannot go out on the connection that started
-// it: that connection is gone, or the worker was attached anew meanwhile.
+// WatchReply holds the changes since the requested sequence number. A call is
+// included only if its answer cannot be sent on the connection that started it,
+// because that connection is closed or the worker was attached again since.
 type WatchReply struct {
 	Seq     uint64       `json:"seq"`
 	Leaving bool         `json:"leaving"`
 	Tasks   []TaskReport `json:"tasks,omitempty"`
 }
 
-// Action is what a worker is asked to do with a running task.
+// Action is what a worker should do with a running task.
 type Action string
 
-// The actions, in the order of the ladder.
+// The actions, from the mildest to the most severe apart from ActResume, which
+// undoes ActThrottle.
 const (
 	ActThrottle   Action = "throttle"
 	ActResume     Action = "resume"
@@ -212,24 +214,26 @@
 	ActStop       Action = "stop"
 )
 
-// Worker is one worker of the platform.
+// Worker is a client of one worker of the platform.
 //
-// Errors are of kind Fenced (a higher epoch or another incarnation is there),
-// Leaving, Unavailable (surely not received) or Lost (perhaps received).
+// Errors are of kind Fenced (the worker has a higher epoch or another
+// incarnation), Leaving, Unavailable (certainly not received) or Lost (possibly
+// received).
 type Worker interface {
-	// Attach raises the worker's epoch and returns all that it runs.
+	// Attach raises the worker's epoch and returns all tasks that it runs.
 	Attach(ctx context.Context, c Command) (AttachReply, error)
-	// Start runs a task. For a call it returns when the task is over, for all
-	// others once the worker has accepted it.
-	Start(ctx context.Context, c Command, t Task, length time.Duration) (TaskReport, error)
-	// Join waits for the end of a task that was started before. It never
-	// starts one: its error is of kind NotFound when the worker has none.
+	// Start runs a task. For a call it returns when the task has ended, for other
+	// tasks as soon as the worker has accepted it.
+	Start(ctx context.Context, c Command, t Task, leaseDuration time.Duration) (TaskReport, error)
+	// Join waits for the end of a task that was started earlier. It never starts
+	// one: its error is of kind NotFound if the worker does not have the task.
 	Join(ctx context.Context, c Command, id string, attempt uint32) (TaskReport, error)
 	// Watch renews the leases and returns changes.
 	Watch(ctx context.Context, w WatchRequest) (WatchReply, error)
-	// Act throttles, resumes, checkpoints or stops a task. Its reply may overtake a
-	// reply to a watch that the worker gave before; a watch tells of an end too.
+	// Act throttles, resumes, checkpoints or stops a task. Its reply may arrive
+	// before a reply to Watch that the worker sent earlier; the end of a task is
+	// reported by Watch as well.
 	Act(ctx context.Context, c Command, id string, attempt uint32, a Action) (TaskReport, error)
-	// Ack lets the worker forget an answer.
+	// Ack allows the worker to discard an answer.
 	Ack(ctx context.Context, id string, attempt uint32) error
 }
--- a/ports/worker.go
+++ b/ports/worker.go
@@ -15,29 +15,29 @@
 )
 
 const (
-	// ConnsPerOwner is how many of a worker's connections one owner uses. The
-	// rest is for the next owner at a handover.
-	ConnsPerOwner = 24
-	commandTime   = 2 * time.Second
-	idlePerWorker = 4
+	// ConnsPerOwner is the number of a worker's connections that one owner uses.
+	// The rest is left for the next owner during a handover.
+	ConnsPerOwner    = 24
+	commandTimeout   = 2 * time.Second
+	maxIdlePerWorker = 4
 )
 
-// Workers makes the adapters of workers. They share one pool of connections.
+// Workers makes clients of workers. The clients share one connection pool.
 type Workers struct {
 	http *pool.Pool
 }
 
-// NewWorkers returns a maker of adapters.
+// NewWorkers returns a Workers with an empty connection pool.
 func NewWorkers() *Workers {
-	return &Workers{http: newPool(idlePerWorker, ConnsPerOwner)}
+	return &Workers{http: newPool(maxIdlePerWorker, ConnsPerOwner)}
 }
 
-// At returns the worker at an address such as "10.0.0.7:7000".
+// At returns a client of the worker at an address such as "10.0.0.7:7000".
 func (w *Workers) At(addr string) Worker {
 	return &worker{base: "http://" + addr, http: w.http}
 }
 
-// Close drops the idle connections.
+// Close closes the idle connections.
 func (w *Workers) Close() { w.http.CloseIdleConnections() }
 
 type worker struct {
@@ -45,21 +45,21 @@
 	http *pool.Pool
 }
 
-// StartRequest is the body of a start.
+// StartRequest is the body of a start request.
 type StartRequest struct {
 	Command
 	Task    Task  `json:"task"`
 	LeaseMS int64 `json:"lease_ms"`
 }
 
-// JoinRequest is the body of a join.
+// JoinRequest is the body of a join request.
 type JoinRequest struct {
 	Command
 	ID      string `json:"id"`
 	Attempt uint32 `json:"attempt"`
 }
 
-// ActRequest is the body of an action.
+// ActRequest is the body of an action request.
 type ActRequest struct {
 	Command
 	ID      string `json:"id"`
@@ -83,7 +83,7 @@
 
 // Attach implements Worker.
 func (w *worker) Attach(ctx context.Context, c Command) (AttachReply, error) {
-	ctx, cancel := context.WithTimeout(ctx, commandTime)
+	ctx, cancel := context.WithTimeout(ctx, commandTimeout)
 	defer cancel()
 	var out AttachReply
 	err := w.post(ctx, "/v1/attach", c, &out)
@@ -91,14 +91,14 @@
 }
 
 // Start implements Worker.
-func (w *worker) Start(ctx context.Context, c Command, t Task, length time.Duration) (TaskReport, error) {
+func (w *worker) Start(ctx context.Context, c Command, t Task, leaseDuration time.Duration) (TaskReport, error) {
 	if !t.Call {
 		var cancel context.CancelFunc
-		ctx, cancel = context.WithTimeout(ctx, commandTime)
+		ctx, cancel = context.WithTimeout(ctx, commandTimeout)
 		defer cancel()
 	}
 	var out TaskReport
-	err := w.post(ctx, "/v1/start", StartRequest{Command: c, Task: t, LeaseMS: length.Milliseconds()}, &out)
+	err := w.post(ctx, "/v1/start", StartRequest{Command: c, Task: t, LeaseMS: leaseDuration.Milliseconds()}, &out)
 	return out, err
 }
 
@@ -111,7 +111,7 @@
 
 // Watch implements Worker.
 func (w *worker) Watch(ctx context.Context, r WatchRequest) (WatchReply, error) {
-	ctx, cancel := context.WithTimeout(ctx, time.Duration(r.HoldMS)*time.Millisecond+commandTime)
+	ctx, cancel := context.WithTimeout(ctx, time.Duration(r.HoldMS)*time.Millisecond+commandTimeout)
 	defer cancel()
 	var out WatchReply
 	err := w.post(ctx, "/v1/watch", r, &out)
@@ -120,7 +120,7 @@
 
 // Act implements Worker.
 func (w *worker) Act(ctx context.Context, c Command, id string, attempt uint32, a Action) (TaskReport, error) {
-	ctx, cancel := context.WithTimeout(ctx, commandTime)
+	ctx, cancel := context.WithTimeout(ctx, commandTimeout)
 	defer cancel()
 	var out TaskReport
 	err := w.post(ctx, "/v1/act", ActRequest{Command: c, ID: id, Attempt: attempt, Action: a}, &out)
@@ -129,27 +129,27 @@
 
 // Ack implements Worker.
 func (w *worker) Ack(ctx context.Context, id string, attempt uint32) error {
-	ctx, cancel := context.WithTimeout(ctx, commandTime)
+	ctx, cancel := context.WithTimeout(ctx, commandTimeout)
 	defer cancel()
 	return w.post(ctx, "/v1/ack", AckRequest{ID: id, Attempt: attempt}, nil)
 }
 
-// Digest returns the digest of a body as answers carry it.
+// Digest returns the hexadecimal SHA-256 digest of a body, as in Answer.Digest.
 func Digest(body []byte) string {
 	sum := sha256.Sum256(body)
 	return hex.EncodeToString(sum[:])
 }
 
-// Whole returns nil if a is the whole answer to the given attempt, and an
-// error of kind Damaged if it is cut short or belongs to another.
+// Whole returns nil if a is the complete answer to the given attempt, and an
+// error of kind Damaged if it is truncated or belongs to another attempt.
 func (a *Answer) Whole(id string, attempt uint32) error {
 	switch {
 	case a == nil:
-		return kind.New(kind.Damaged, "no answer")
+		return kind.New(kind.Damaged, "no answer in the report")
 	case a.ID != id || a.Attempt != attempt:
-		return kind.New(kind.Damaged, "the answer belongs to "+a.ID)
+		return kind.New(kind.Damaged, "the answer is for another task or attempt: "+a.ID)
 	case a.Length != len(a.Body):
-		return kind.New(kind.Damaged, "the answer was cut short")
+		return kind.New(kind.Damaged, "answer truncated")
 	case a.Digest != Digest(a.Body):
 		return kind.New(kind.Damaged, "the answer does not match its digest")
 	}
