--- a/job/doc.go
+++ b/job/doc.go
@@ -1,20 +1,23 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package job holds the durable record of a job and of a request key.
+// Package job defines the durable records of jobs and request keys.
 //
-// A Job is one row of the platform's table. It names the hall and the rack
-// that it belongs to: whoever owns the rack owns the job, and writes its row
-// only together with a check on the rack's row, so that a former owner cannot.
-// An index row under the rack lets a new owner find its jobs.
+// A job is one row of the platform's table. The row names the hall and the rack
+// to which the job belongs. The owner of the rack owns the job, and writes its
+// row only together with a check on the rack's row, so that a former owner
+// cannot write it. An index row under the rack allows a new owner to find its
+// jobs.
 //
-// A call that must not be repeated is a Job as well, written before it is sent
-// to a worker: its row is the intent to run it, and later what became of it.
+// A call that must not be repeated is stored as a job as well. Its row is
+// written before the call is sent to a worker: it records first the intent to
+// run the call and later its result.
 //
-// A Key is the row of a shop's request key. It is written together with the
-// job, and makes the same request find its first try again. A Key can also say
-// that the request was refused, which is final.
+// A request key is stored in a row that is written together with the job. If a
+// client account sends the same request again, the row leads to the job of the
+// first attempt. The row can also record that the request was refused, which is
+// final.
 //
-// Next says which change of state is allowed. A job that must start at most
-// once never leaves Dispatched for Queued, unless the worker refused it for
-// certain.
+// The package also defines the allowed state transitions. A job that must start
+// at most once returns from Dispatched to Queued only if the worker certainly
+// refused it.
 package job
--- a/job/expiry.go
+++ b/job/expiry.go
@@ -10,20 +10,19 @@
 	"dewpass.org/ports"
 )
 
-// Expiry is the row that tells what may be removed from the table at a time:
-// the row of a job that is over, of a request key, or of both. These rows are in
-// the order of their times, so that what is due is found without looking at
-// what is not.
+// Expiry is a row that says when a job's row, the row of a request key, or both
+// may be removed from the table. Its key sorts by that time, so that expired
+// rows are found without scanning the others.
 type Expiry struct {
 	Hall string    `json:"-"`
 	At   time.Time `json:"at"`
-	// ID is the job's, "" for a key that was refused.
+	// ID is the job's ID, "" for a request key that was refused.
 	ID   string `json:"id,omitempty"`
 	Shop string `json:"shop,omitempty"`
 	Key  string `json:"key,omitempty"`
 }
 
-// ExpiryOf returns the expiry of a job that is over.
+// ExpiryOf returns the expiry row of a job that has ended.
 func ExpiryOf(j Job) Expiry {
 	e := Expiry{Hall: j.Hall, ID: j.ID, Shop: j.Shop, Key: j.Key}
 	if j.Expires != nil {
@@ -32,19 +31,19 @@
 	return e
 }
 
-// expiryTime sorts as text.
-const expiryTime = "20060102T150405"
+// expiryTimeFormat formats times such that they sort as text.
+const expiryTimeFormat = "20060102T150405"
 
-// ExpiryPrefix returns the start of the keys of a hall's expiry rows.
+// ExpiryPrefix returns the key prefix of a hall's expiry rows.
 func ExpiryPrefix(hall string) string { return expiryPrefix + hall + "/" }
 
-// ExpiryBefore returns a key above those of everything that is due at a time,
-// and below all others.
+// ExpiryBefore returns a key that sorts after the keys of all expiry rows due
+// before now, and before the keys of all others.
 func ExpiryBefore(hall string, now time.Time) string {
-	return ExpiryPrefix(hall) + now.UTC().Format(expiryTime) + "/"
+	return ExpiryPrefix(hall) + now.UTC().Format(expiryTimeFormat) + "/"
 }
 
-// Put returns the write of the row.
+// Put returns the write of the row to the table.
 func (e Expiry) Put() ports.Put {
 	name := e.ID
 	if name == "" {
@@ -53,7 +52,7 @@
 	return ports.Put{Key: ExpiryBefore(e.Hall, e.At) + name, Value: Encode(e)}
 }
 
-// DecodeExpiry reads an expiry row.
+// DecodeExpiry decodes an expiry row.
 func DecodeExpiry(raw []byte) (Expiry, error) {
 	var e Expiry
 	if err := json.Unmarshal(raw, &e); err != nil {
--- a/job/job.go
+++ b/job/job.go
@@ -15,26 +15,26 @@
 
 // The states of a job.
 const (
-	// Queued waits to be started, for the first time or again.
+	// Queued is a job that waits to be started, for the first time or again.
 	Queued State = "queued"
-	// Dispatched is about to be sent to a worker, or was.
+	// Dispatched is a job that is about to be sent to a worker, or was sent.
 	Dispatched State = "dispatched"
-	// Running was accepted by a worker.
+	// Running is a job that a worker has accepted.
 	Running State = "running"
-	// Done has its answer.
+	// Done is a job that has its answer.
 	Done State = "done"
-	// Failed ran and failed, as often as allowed.
+	// Failed is a job that ran and failed as often as it may be retried.
 	Failed State = "failed"
-	// Cancelled was ended by its caller.
+	// Cancelled is a job that its caller has cancelled.
 	Cancelled State = "cancelled"
-	// Unknown was sent to a worker that cannot be asked any more, and must not
-	// be repeated.
+	// Unknown is a job that was sent to a worker which no longer answers, and
+	// that must not be repeated.
 	Unknown State = "unknown"
-	// Refused was never run and never will be.
+	// Refused is a job that never ran and never will.
 	Refused State = "refused"
 )
 
-// Over reports whether a job in state s stays as it is.
+// Over reports whether s is final.
 func (s State) Over() bool {
 	switch s {
 	case Done, Failed, Cancelled, Refused:
@@ -43,8 +43,8 @@
 	return false
 }
 
-// allowed lists the changes of state.
-var allowed = map[State][]State{
+// allowedTransitions maps each state to the states that may follow it.
+var allowedTransitions = map[State][]State{
 	Queued:     {Dispatched, Running, Done, Cancelled, Failed},
 	Dispatched: {Running, Queued, Done, Failed, Cancelled, Unknown, Refused},
 	Running:    {Queued, Done, Failed, Cancelled, Unknown},
@@ -60,16 +60,16 @@
 	Payload  json.RawMessage `json:"payload,omitempty"`
 	Repeat   ports.Repeat    `json:"repeat"`
 	Service  bool            `json:"service,omitempty"`
-	// Call marks a call that must not be repeated. Its caller waits for it; its
-	// row is what is left when that caller gets no answer.
+	// Call marks a call that must not be repeated. Its caller waits for the
+	// answer; the row is the only record if the caller never receives it.
 	Call bool `json:"call,omitempty"`
-	// Hall and Rack name where the job belongs.
+	// Hall and Rack are where the job belongs. The rack's owner owns the job.
 	Hall string `json:"hall"`
 	Rack string `json:"rack"`
 
 	State   State  `json:"state"`
 	Attempt uint32 `json:"attempt"`
-	// Worker and Incarnation say where the attempt was sent.
+	// Worker and Incarnation are where the current attempt was sent.
 	Worker      string `json:"worker,omitempty"`
 	Incarnation string `json:"incarnation,omitempty"`
 	Failures    int    `json:"failures,omitempty"`
@@ -81,19 +81,21 @@
 	Deadline  *time.Time `json:"deadline,omitempty"`
 	Started   *time.Time `json:"started,omitempty"`
 	Finished  *time.Time `json:"finished,omitempty"`
-	// Expires is when the row may be removed; it comes with the end.
+	// Expires is when the row may be removed. It is set when the job ends.
 	Expires *time.Time `json:"expires,omitempty"`
 
 	Answer *ports.Answer `json:"answer,omitempty"`
-	// AnswerObject is the object that holds a large answer's body.
+	// AnswerObject is the key of the object that holds the body of a large
+	// answer.
 	AnswerObject string `json:"answer_object,omitempty"`
-	// Why says why the job failed, was refused or is unknown.
+	// Why is the reason why the job failed, was refused or is unknown.
 	Why string `json:"why,omitempty"`
 }
 
-// Next returns j in another state, or an error if that change is not allowed.
+// Next returns a copy of j in state s, or an error of kind Conflict if the
+// transition is not allowed.
 func (j Job) Next(s State) (Job, error) {
-	for _, to := range allowed[j.State] {
+	for _, to := range allowedTransitions[j.State] {
 		if to != s {
 			continue
 		}
@@ -108,18 +110,18 @@
 
 // Key is the row of a request key.
 type Key struct {
-	// ID is that of the job that the key stands for.
+	// ID is the ID of the job that the request started.
 	ID string `json:"id"`
-	// Digest is that of the request, so that a key used for another request is
-	// noticed.
+	// Digest is the digest of the request. It detects the use of a key for a
+	// different request.
 	Digest string `json:"digest"`
-	// Refused says that no request with the key was run, nor ever will be.
+	// Refused is true if no request with the key has run or ever will.
 	Refused bool `json:"refused,omitempty"`
 	// Why says why it was refused.
 	Why string `json:"why,omitempty"`
 }
 
-// The prefixes of the rows.
+// Key prefixes of the rows.
 const (
 	jobPrefix    = "job/"
 	indexPrefix  = "rackjob/"
@@ -127,22 +129,23 @@
 	expiryPrefix = "expiry/"
 )
 
-// RowKey returns the key of a job's row.
+// RowKey returns the row key of a job.
 func RowKey(id string) string { return jobPrefix + id }
 
-// IndexPrefix returns the start of the keys of the index rows of a rack.
+// IndexPrefix returns the prefix of the row keys of a rack's job index.
 func IndexPrefix(rack string) string { return indexPrefix + rack + "/" }
 
-// IndexKey returns the key of a job's index row.
+// IndexKey returns the row key of a job's index row.
 func IndexKey(rack, id string) string { return IndexPrefix(rack) + id }
 
-// KeyRow returns the key of the row of a request key.
+// KeyRow returns the row key of a request key.
 func KeyRow(shop, key string) string { return keyPrefix + shop + "/" + key }
 
-// IndexedID returns the job's id from the key of its index row.
+// IndexedID extracts the job's ID from the row key of its index row.
 func IndexedID(rack, key string) string { return key[len(IndexPrefix(rack)):] }
 
-// Encode returns the JSON of a row. Rows are plain data and always have one.
+// Encode returns the JSON of a row. It panics on failure, which cannot happen
+// because rows are plain data.
 func Encode(row any) []byte {
 	raw, err := json.Marshal(row)
 	if err != nil {
@@ -151,26 +154,26 @@
 	return raw
 }
 
-// Decode reads the row of a job.
+// Decode decodes the row of a job.
 func Decode(raw []byte) (Job, error) {
 	var j Job
 	if err := json.Unmarshal(raw, &j); err != nil {
-		return Job{}, kind.Wrap(kind.Internal, err, "a job's row is damaged")
+		return Job{}, kind.Wrap(kind.Internal, err, "the row of a job is damaged")
 	}
 	return j, nil
 }
 
-// DecodeKey reads the row of a request key.
+// DecodeKey decodes the row of a request key.
 func DecodeKey(raw []byte) (Key, error) {
 	var k Key
 	if err := json.Unmarshal(raw, &k); err != nil {
-		return Key{}, kind.Wrap(kind.Internal, err, "a key's row is damaged")
+		return Key{}, kind.Wrap(kind.Internal, err, "the row of a request key is damaged")
 	}
 	return k, nil
 }
 
-// RequestDigest returns the digest that tells one request from another under
-// the same key.
+// RequestDigest returns the digest by which two requests with the same request
+// key are compared.
 func RequestDigest(workload string, payload []byte) string {
 	return ports.Digest(append([]byte(workload+"\n"), payload...))
 }
--- a/job/job_test.go
+++ b/job/job_test.go
@@ -18,22 +18,22 @@
 	RunSpecs(t, "job")
 }
 
-var states = []job.State{
+var allStates = []job.State{
 	job.Queued, job.Dispatched, job.Running, job.Done, job.Failed, job.Cancelled, job.Unknown, job.Refused,
 }
 
 var _ = Describe("the states of a job", func() {
-	It("never lead out of an end, nor from running back to queued for work that must not be repeated", func() {
+	It("never leave a final state, nor return from running to queued if the job must not be repeated", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			j := job.Job{State: job.Queued, Repeat: ports.RepeatNever}
 			ran := false
 			for range 20 {
-				next, err := j.Next(rapid.SampledFrom(states).Draw(t, "to"))
+				next, err := j.Next(rapid.SampledFrom(allStates).Draw(t, "to"))
 				if err != nil {
 					continue
 				}
 				if j.State.Over() {
-					t.Fatalf("%s led to %s", j.State, next.State)
+					t.Fatalf("transition from final state %s to %s", j.State, next.State)
 				}
 				ran = ran || next.State == job.Running
 				if ran && next.State == job.Queued {
