--- a/commit/commit.go
+++ b/commit/commit.go
@@ -16,34 +16,35 @@
 )
 
 const (
-	// maxBatch bounds the changes in one transaction.
-	maxBatch = 256
-	// retryPause is the wait between tries while the table does not answer.
-	retryPause = 100 * time.Millisecond
-	keyPrefix  = "journal/"
+	// maxBatchRequests is the highest number of changes in one transaction.
+	maxBatchRequests = 256
+	// retryInterval is the interval between attempts while the table does not answer.
+	retryInterval = 100 * time.Millisecond
+	keyPrefix     = "journal/"
 )
 
-// Change is a set of rows that are written together or not at all.
+// Change is a set of rows that are written atomically, if all checks hold.
 type Change struct {
 	Checks []ports.Check
 	Puts   []ports.Put
 }
 
-// Journal gathers changes and commits them. Make one with New and run it with
-// Run.
+// Journal collects changes and commits them in batches. Make one with New and
+// start it with Run.
 type Journal struct {
-	// Away reports whether the table has not answered others of this instance
-	// for so long that a change that cannot wait is refused without being
-	// sent; nil is never. Set it before Run.
+	// Away reports whether the table has been unreachable for the other parts of
+	// this instance for so long that a change with a deadline is refused without
+	// being sent. If it is nil, no change is refused for that reason. Set it
+	// before Run.
 	Away func() bool
 
 	table ports.Table
 	key   string
 	wake  chan struct{}
 
-	mu      sync.Mutex
-	pending []*item
-	failing bool
+	mu            sync.Mutex
+	pending       []*request
+	lastTxnFailed bool
 
 	// version is the version of the journal's own row.
 	version uint64
@@ -54,20 +55,21 @@
 	err     error
 }
 
-type item struct {
+// request is a change that waits to be committed or is being committed.
+type request struct {
 	ctx    context.Context
 	change Change
-	done   chan result
+	result chan result
 }
 
-// bounded reports whether somebody waits for the change with a deadline.
-func (it *item) bounded() bool {
+// hasDeadline reports whether the caller waits for the change with a deadline.
+func (it *request) hasDeadline() bool {
 	_, ok := it.ctx.Deadline()
 	return ok
 }
 
-// New returns a journal of an instance of a hall. start names one start of the
-// instance and must be new for each.
+// New returns a journal for an instance in a hall. start identifies the start
+// of the process and must be unique to each one.
 func New(table ports.Table, hall, start string) *Journal {
 	return &Journal{
 		table: table,
@@ -76,11 +78,11 @@
 	}
 }
 
-// Prefix returns the start of the keys of the own rows of a hall's journals.
+// Prefix returns the key prefix of the own rows of a hall's journals.
 func Prefix(hall string) string { return keyPrefix + hall + "/" }
 
-// Used returns when a journal last wrote a transaction, from the value of its
-// own row: the nonce there carries its time.
+// Used returns when a journal last wrote a transaction. row is the value of the
+// journal's own row: a nonce that contains the time.
 func Used(row []byte) (time.Time, bool) {
 	nonce, err := ulid.ParseStrict(string(row))
 	if err != nil {
@@ -89,12 +91,13 @@
 	return nonce.Timestamp(), true
 }
 
-// Conflict is the cause of an error of kind Conflict: the rows as they stand.
+// Conflict is the cause of an error of kind Conflict. Rows holds the current
+// state of the rows whose checks failed.
 type Conflict struct {
 	Rows []ports.Row
 }
 
-// Error returns the keys of the rows.
+// Error lists the keys of the rows.
 func (c *Conflict) Error() string {
 	s := "rows changed:"
 	for _, r := range c.Rows {
@@ -103,29 +106,29 @@
 	return s
 }
 
-// Commit writes a change and returns the version of its rows. Its errors are
-// of kind Conflict, of kind Unavailable when the change surely was not and
-// will not be written, or of kind Lost when that is not known.
+// Commit writes a change and returns the version of its rows. The error is of
+// kind Conflict if a check failed, Unavailable if the change certainly was not
+// and will not be written, and Lost if that is not known.
 func (j *Journal) Commit(ctx context.Context, c Change) (uint64, error) {
-	it := &item{ctx: ctx, change: c, done: make(chan result, 1)}
+	it := &request{ctx: ctx, change: c, result: make(chan result, 1)}
 	if !j.enqueue(it) {
 		return 0, kind.New(kind.Unavailable, "the table does not answer")
 	}
 	select {
-	case r := <-it.done:
+	case r := <-it.result:
 		return r.version, r.err
 	case <-ctx.Done():
 		return 0, j.abandon(it)
 	}
 }
 
-// enqueue adds a change for the next transaction. While the table does not
-// answer, a change that cannot wait for long is refused at once.
-func (j *Journal) enqueue(it *item) bool {
+// enqueue adds a change to those that wait for the next transaction. While the
+// table does not answer, it refuses a change with a deadline and returns false.
+func (j *Journal) enqueue(it *request) bool {
 	away := j.Away != nil && j.Away()
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	if (away || j.failing) && it.bounded() {
+	if (away || j.lastTxnFailed) && it.hasDeadline() {
 		return false
 	}
 	j.pending = append(j.pending, it)
@@ -136,9 +139,9 @@
 	return true
 }
 
-// abandon gives a change up that nobody waits for any more. What is still
-// pending was not sent and is taken out.
-func (j *Journal) abandon(it *item) error {
+// abandon is called when the caller of Commit no longer waits. A change that
+// has not been sent yet is removed, so that it is certainly not written.
+func (j *Journal) abandon(it *request) error {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	for i, p := range j.pending {
@@ -150,27 +153,27 @@
 	return kind.Wrap(kind.Lost, it.ctx.Err(), "the table's answer was lost")
 }
 
-// Failing reports whether the last transaction got no answer.
+// Failing reports whether the last transaction failed without an answer.
 func (j *Journal) Failing() bool {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	return j.failing
+	return j.lastTxnFailed
 }
 
-func (j *Journal) setFailing(failing bool) {
+func (j *Journal) setLastTxnFailed(failing bool) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.failing = failing
+	j.lastTxnFailed = failing
 }
 
-// Run commits changes until ctx ends. Changes that are left then fail.
+// Run commits changes until ctx ends. Remaining changes fail then.
 func (j *Journal) Run(ctx context.Context) {
 	for {
-		batch := j.take()
+		batch := j.nextBatch()
 		if len(batch) > 0 {
-			j.commit(ctx, batch)
+			j.commitBatch(ctx, batch)
 		} else {
-			j.idle(ctx)
+			j.waitForRequests(ctx)
 		}
 		if ctx.Err() != nil {
 			return
@@ -178,33 +181,34 @@
 	}
 }
 
-// idle waits for changes. While the table does not answer, it asks it again
-// and again: changes that cannot wait are refused until it does.
-func (j *Journal) idle(ctx context.Context) {
+// waitForRequests waits for changes. While the table does not answer, it probes
+// the table at intervals, because changes with a deadline are refused until the
+// table answers again.
+func (j *Journal) waitForRequests(ctx context.Context) {
 	var probe <-chan time.Time
 	if j.Failing() {
-		probe = time.After(retryPause)
+		probe = time.After(retryInterval)
 	}
 	select {
 	case <-j.wake:
 	case <-probe:
 		if _, err := j.table.Get(ctx, j.key); err == nil {
-			j.setFailing(false)
+			j.setLastTxnFailed(false)
 		}
 	case <-ctx.Done():
 	}
 }
 
-// take removes the changes for the next transaction. Two changes that touch
-// the same row do not go into one.
-func (j *Journal) take() []*item {
+// nextBatch removes the changes of the next transaction from the pending ones.
+// Two changes that write the same row never share a transaction.
+func (j *Journal) nextBatch() []*request {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	touched := make(map[string]bool)
-	var batch, rest []*item
+	var batch, rest []*request
 	for _, it := range j.pending {
-		if len(batch) < maxBatch && it.free(touched) {
-			it.touch(touched)
+		if len(batch) < maxBatchRequests && it.disjointFrom(touched) {
+			it.addKeysTo(touched)
 			batch = append(batch, it)
 		} else {
 			rest = append(rest, it)
@@ -214,7 +218,8 @@
 	return batch
 }
 
-func (it *item) free(touched map[string]bool) bool {
+// disjointFrom reports whether the change writes none of the given keys.
+func (it *request) disjointFrom(touched map[string]bool) bool {
 	for _, p := range it.change.Puts {
 		if touched[p.Key] {
 			return false
@@ -223,38 +228,39 @@
 	return true
 }
 
-func (it *item) touch(touched map[string]bool) {
+// addKeysTo adds the keys that the change writes to the given set.
+func (it *request) addKeysTo(touched map[string]bool) {
 	for _, p := range it.change.Puts {
 		touched[p.Key] = true
 	}
 }
 
-// commit writes a batch. It returns when each change in it has its result.
-func (j *Journal) commit(ctx context.Context, batch []*item) {
+// commitBatch commits a batch. It returns once each of its changes has a result.
+func (j *Journal) commitBatch(ctx context.Context, batch []*request) {
 	for len(batch) > 0 {
-		res, err := j.write(ctx, batch, uid.New())
+		res, err := j.writeTxn(ctx, batch, uid.New())
 		switch {
 		case err == nil && len(res.Failed) == 0:
-			finish(batch, result{version: res.Version})
+			finishAll(batch, result{version: res.Version})
 			return
 		case err == nil:
-			batch = j.sortOut(batch, res.Failed)
-		case kind.Is(err, kind.Lost) || !pause(ctx):
-			finish(batch, result{err: err})
+			batch = j.rejectFailed(batch, res.Failed)
+		case kind.Is(err, kind.Lost) || !waitRetryInterval(ctx):
+			finishAll(batch, result{err: err})
 			return
 		default:
-			batch = keepPatient(batch, err)
+			batch = rejectWithDeadline(batch, err)
 		}
 	}
 }
 
-// keepPatient answers the changes that cannot wait with err, which says that
-// they were not written, and returns the others.
-func keepPatient(batch []*item, err error) []*item {
+// rejectWithDeadline fails the changes whose callers have a deadline or have
+// gone with err, which says that they were not written, and returns the others.
+func rejectWithDeadline(batch []*request, err error) []*request {
 	kept := batch[:0:0]
 	for _, it := range batch {
-		if it.bounded() || it.ctx.Err() != nil {
-			it.done <- result{err: err}
+		if it.hasDeadline() || it.ctx.Err() != nil {
+			it.result <- result{err: err}
 			continue
 		}
 		kept = append(kept, it)
@@ -262,52 +268,54 @@
 	return kept
 }
 
-func finish(batch []*item, r result) {
+func finishAll(batch []*request, r result) {
 	for _, it := range batch {
-		it.done <- r
+		it.result <- r
 	}
 }
 
-// write sends one transaction. Once an answer of it was lost, the same
-// transaction is sent again until it is known what became of it: only then may
-// another one follow.
-func (j *Journal) write(ctx context.Context, batch []*item, nonce string) (ports.Commit, error) {
-	txn := j.txn(batch, nonce)
+// writeTxn sends one transaction. If the reply is lost, it sends the same
+// transaction again until the outcome is known; no other transaction may be
+// sent before that.
+func (j *Journal) writeTxn(ctx context.Context, batch []*request, nonce string) (ports.Commit, error) {
+	txn := j.buildTxn(batch, nonce)
 	res, err := j.table.Commit(ctx, txn)
 	for kind.Is(err, kind.Lost) {
-		j.setFailing(true)
-		row, gone := j.readBack(ctx)
-		if gone != nil {
-			return ports.Commit{}, gone
+		j.setLastTxnFailed(true)
+		row, readErr := j.readBack(ctx)
+		if readErr != nil {
+			return ports.Commit{}, readErr
 		}
 		if string(row.Value) == nonce {
-			return j.settled(ports.Commit{Version: row.Version}), nil
+			return j.recordVersion(ports.Commit{Version: row.Version}), nil
 		}
 		res, err = j.resend(ctx, txn)
 	}
-	j.setFailing(err != nil)
-	if row := j.own(res.Failed); row != nil && string(row.Value) == nonce {
-		return j.settled(ports.Commit{Version: row.Version}), nil
+	j.setLastTxnFailed(err != nil)
+	if row := j.ownRow(res.Failed); row != nil && string(row.Value) == nonce {
+		return j.recordVersion(ports.Commit{Version: row.Version}), nil
 	}
-	return j.settled(res), err
+	return j.recordVersion(res), err
 }
 
-// resend sends a transaction whose fate is open once more. While it cannot be
-// sent, its fate stays open.
+// resend sends again a transaction whose outcome is unknown. An error of
+// another kind than Lost says nothing about the earlier copy, so resend repeats
+// until the table answers or the reply is lost again.
 func (j *Journal) resend(ctx context.Context, txn ports.Txn) (ports.Commit, error) {
 	for {
 		res, err := j.table.Commit(ctx, txn)
 		if err == nil || kind.Is(err, kind.Lost) {
 			return res, err
 		}
-		if !pause(ctx) {
+		if !waitRetryInterval(ctx) {
 			return ports.Commit{}, kind.Wrap(kind.Lost, ctx.Err(), "the table's answer was lost")
 		}
 	}
 }
 
-// own returns the journal's own row among those whose checks failed, or nil.
-func (j *Journal) own(failed []ports.Row) *ports.Row {
+// ownRow returns the journal's own row among the rows whose checks failed, or
+// nil.
+func (j *Journal) ownRow(failed []ports.Row) *ports.Row {
 	for i := range failed {
 		if failed[i].Key == j.key {
 			return &failed[i]
@@ -316,39 +324,40 @@
 	return nil
 }
 
-// pause waits a moment and reports whether ctx still goes on.
-func pause(ctx context.Context) bool {
+// waitRetryInterval waits for retryInterval. It returns false if ctx ends first.
+func waitRetryInterval(ctx context.Context) bool {
 	select {
-	case <-time.After(retryPause):
+	case <-time.After(retryInterval):
 		return true
 	case <-ctx.Done():
 		return false
 	}
 }
 
-// settled remembers the version of the journal's own row.
-func (j *Journal) settled(res ports.Commit) ports.Commit {
+// recordVersion stores the version of the journal's own row if res is a
+// committed transaction, and returns res.
+func (j *Journal) recordVersion(res ports.Commit) ports.Commit {
 	if res.Version > 0 && len(res.Failed) == 0 {
 		j.version = res.Version
 	}
 	return res
 }
 
-// readBack reads the journal's own row until the table answers. Nothing else
-// is written before that.
+// readBack reads the journal's own row, repeating until the table answers.
+// Nothing is written before that.
 func (j *Journal) readBack(ctx context.Context) (ports.Row, error) {
 	for {
 		rows, err := j.table.Get(ctx, j.key)
 		if err == nil {
 			return rows[0], nil
 		}
-		if !pause(ctx) {
+		if !waitRetryInterval(ctx) {
 			return ports.Row{}, kind.Wrap(kind.Lost, ctx.Err(), "the table's answer was lost")
 		}
 	}
 }
 
-func (j *Journal) txn(batch []*item, nonce string) ports.Txn {
+func (j *Journal) buildTxn(batch []*request, nonce string) ports.Txn {
 	txn := ports.Txn{
 		Checks: []ports.Check{{Key: j.key, Version: j.version}},
 		Puts:   []ports.Put{{Key: j.key, Value: []byte(nonce)}},
@@ -366,8 +375,9 @@
 	return txn
 }
 
-// sortOut answers the changes whose checks failed and returns the others.
-func (j *Journal) sortOut(batch []*item, failed []ports.Row) []*item {
+// rejectFailed fails the changes whose checks failed with a Conflict, and
+// returns the others.
+func (j *Journal) rejectFailed(batch []*request, failed []ports.Row) []*request {
 	now := make(map[string]ports.Row, len(failed))
 	for _, r := range failed {
 		now[r.Key] = r
@@ -377,8 +387,8 @@
 	}
 	kept := batch[:0:0]
 	for _, it := range batch {
-		if rows := it.failed(now); len(rows) > 0 {
-			it.done <- result{err: kind.Wrap(kind.Conflict, &Conflict{Rows: rows}, "")}
+		if rows := it.failedChecks(now); len(rows) > 0 {
+			it.result <- result{err: kind.Wrap(kind.Conflict, &Conflict{Rows: rows}, "")}
 			continue
 		}
 		kept = append(kept, it)
@@ -386,7 +396,8 @@
 	return kept
 }
 
-func (it *item) failed(now map[string]ports.Row) []ports.Row {
+// failedChecks returns the rows that differ from what the change expects.
+func (it *request) failedChecks(now map[string]ports.Row) []ports.Row {
 	var rows []ports.Row
 	for _, c := range it.change.Checks {
 		if r, ok := now[c.Key]; ok && r.Version != c.Version {
--- a/commit/commit_test.go
+++ b/commit/commit_test.go
@@ -49,7 +49,7 @@
 		return ctx
 	}
 
-	It("writes many changes with few transactions", func(ctx context.Context) {
+	It("combines many changes into few transactions", func(ctx context.Context) {
 		const changes = 200
 		slow := func(ports.Txn) error { time.Sleep(5 * time.Millisecond); return nil }
 		table.Set(func(l *standin.Local) { l.Before = slow })
@@ -67,7 +67,7 @@
 		Expect(table.Commits()).To(BeNumerically("<", changes/4))
 	})
 
-	It("tells a change whose check failed, and writes the others", func(ctx context.Context) {
+	It("returns a conflict for a change whose check failed, and writes the others", func(ctx context.Context) {
 		_, err := j.Commit(ctx, put("k", "first"))
 		Expect(err).NotTo(HaveOccurred())
 		_, err = j.Commit(ctx, put("k", "second"))
@@ -78,7 +78,7 @@
 		Expect(err).NotTo(HaveOccurred())
 	})
 
-	It("reads back a lost answer and writes nothing twice", func(ctx context.Context) {
+	It("reads back the outcome after a lost reply and writes nothing twice", func(ctx context.Context) {
 		var commits atomic.Int32
 		table.Set(func(l *standin.Local) {
 			l.After = func(ports.Txn) error {
@@ -95,14 +95,14 @@
 		Expect(table.Commits()).To(BeEquivalentTo(6))
 	})
 
-	It("knows its own transaction again when the first copy arrives late", func(ctx context.Context) {
+	It("recognizes its own transaction when the first copy arrives late", func(ctx context.Context) {
 		var late ports.Txn
 		first := true
 		table.Set(func(l *standin.Local) {
 			l.Before = func(t ports.Txn) error {
 				if first {
 					first, late = false, t
-					return kind.New(kind.Lost, "test: on its way")
+					return kind.New(kind.Lost, "test: delayed")
 				}
 				if late.Puts != nil {
 					l.Table.Commit(late)
@@ -112,10 +112,10 @@
 			}
 		})
 		_, err := j.Commit(ctx, put("k", "v"))
-		Expect(err).NotTo(HaveOccurred(), "the late copy is its own, not a conflict")
+		Expect(err).NotTo(HaveOccurred(), "the late copy is the journal's own transaction, not a conflict")
 	})
 
-	It("says unavailable only of what is never written", func(ctx context.Context) {
+	It("returns unavailable only for changes that are never written", func(ctx context.Context) {
 		table.Set(func(l *standin.Local) {
 			l.Before = func(ports.Txn) error { return kind.New(kind.Unavailable, "test") }
 			l.Reading = func() error { return kind.New(kind.Unavailable, "test") }
@@ -127,11 +127,11 @@
 		Expect(kind.Is(err, kind.Unavailable)).To(BeTrue())
 		Expect(time.Since(began)).To(BeNumerically("<", 400*time.Millisecond), "refused at once")
 		table.Set(func(l *standin.Local) { l.Before, l.Reading = nil, nil })
-		Eventually(j.Failing).Should(BeFalse(), "it asks until the table is back")
+		Eventually(j.Failing).Should(BeFalse(), "the journal probes the table until it answers")
 		Expect(table.Table.Get("a", "b")).To(HaveEach(HaveField("Version", BeZero())))
 	})
 
-	It("says lost when it cannot find out", func(ctx context.Context) {
+	It("returns lost when it cannot read back the outcome", func(ctx context.Context) {
 		table.Set(func(l *standin.Local) {
 			l.After = func(ports.Txn) error { return kind.New(kind.Lost, "test") }
 			l.Reading = func() error { return kind.New(kind.Unavailable, "test") }
@@ -140,7 +140,7 @@
 		Expect(kind.Is(err, kind.Lost)).To(BeTrue())
 	})
 
-	It("sends nothing that cannot wait while others know that the table is away", func(ctx context.Context) {
+	It("sends no change with a deadline while others know that the table is away", func(ctx context.Context) {
 		away := commit.New(table, "i", "away")
 		away.Away = func() bool { return true }
 		running, cancel := context.WithCancel(ctx)
