--- a/kind/doc.go
+++ b/kind/doc.go
@@ -1,12 +1,13 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package kind holds the one closed list of errors that dewpass answers with.
+// Package kind defines the closed list of errors that dewpass returns.
 //
 // Every error that leaves a process has a Kind. One table maps each Kind to
-// its HTTP status, its message, the exit code of the command line, whether the
-// caller may send the request again, and what the answer says of the request:
-// that it was truly not run, or that nobody can tell yet. Code that fails
-// makes an Error with New or Wrap and passes it up unchanged; the edge reads
-// the table. Of recovers the Kind from any error, and maps what it does not
-// know to Internal, so that no stray error becomes a promise.
+// its HTTP status, its message, the exit code of the command-line interface,
+// whether the caller may send the request again, and its default outcome: that
+// the work certainly did not run, that it ran, or that this is not known. Code
+// that fails makes an Error with New, Wrap or At and returns it unchanged; only
+// the code that writes a response reads the table. Of returns the Kind of any
+// error and maps unknown errors to Internal with outcome Unknown, so that they
+// never claim that the work did not run.
 package kind
--- a/kind/kind.go
+++ b/kind/kind.go
@@ -10,11 +10,11 @@
 	"github.com/go-faster/errors"
 )
 
-// Kind is one of the closed list of errors.
+// Kind is an error code from a closed list.
 type Kind uint8
 
-// The kinds. Their order is part of the exit codes of the command line:
-// append, do not insert.
+// The kinds. New ones are appended, not inserted, to keep the exit codes of the
+// command-line interface stable.
 const (
 	Internal Kind = iota
 	BadRequest
@@ -43,20 +43,21 @@
 	numKinds
 )
 
-// Outcome is what an answer says about whether the work was run.
+// Outcome says whether the requested work ran.
 type Outcome uint8
 
 const (
-	// NotRun means that the work did not run and never will under this
+	// NotRun means that the work did not run and never will because of this
 	// request.
 	NotRun Outcome = iota
-	// Unknown means that the work may have run; its id can be asked for later.
+	// Unknown means that the work may have run. Its state can be queried by its ID
+	// later.
 	Unknown
-	// Ran means that the work ran to its end, with this failure as its result.
+	// Ran means that the work ran to its end and failed with this error.
 	Ran
 )
 
-// String returns the name of o as answers carry it.
+// String returns the name of o as used in responses.
 func (o Outcome) String() string {
 	switch o {
 	case NotRun:
@@ -68,16 +69,16 @@
 	}
 }
 
-// Row is what the table says of one Kind.
+// Row holds the properties of one Kind.
 type Row struct {
 	Name    string
 	Status  int
 	Message string
-	// Retry says whether the caller may send the same request again.
+	// Retry is true if the caller may send the same request again.
 	Retry bool
-	// Outcome is the outcome unless the error itself carries another.
+	// Outcome is the default outcome of an Error of this Kind.
 	Outcome Outcome
-	// Exit is the exit code of the command line.
+	// Exit is the exit code of the command-line interface.
 	Exit int
 }
 
@@ -108,7 +109,7 @@
 	TaskFailed:      {"task_failed", http.StatusUnprocessableEntity, "the task ran and failed", false, Ran, 11},
 }
 
-// Row returns what the table says of k.
+// Row returns the properties of k.
 func (k Kind) Row() Row {
 	if k >= numKinds {
 		return table[Internal]
@@ -116,10 +117,10 @@
 	return table[k]
 }
 
-// String returns the name of k as answers carry it.
+// String returns the name of k as used in responses.
 func (k Kind) String() string { return k.Row().Name }
 
-// Parse returns the Kind with the given name, or Internal.
+// Parse returns the Kind with the given name, or Internal if there is none.
 func Parse(name string) Kind {
 	for k := range table {
 		if table[k].Name == name {
@@ -138,44 +139,45 @@
 	return all
 }
 
-// Error is an error with a Kind. Its zero value is an Internal error whose
-// outcome is Unknown.
+// Error is an error with a Kind. Make one with New, Wrap or At. The zero value
+// is an Internal error with outcome NotRun.
 type Error struct {
 	Kind Kind
-	// Detail says what was wrong in this case.
+	// Detail describes this particular error.
 	Detail string
-	// Path points at the fault in the caller's input, "" where there is none.
+	// Path is the location of the fault in the caller's input, "" if there is none.
 	Path string
 	// Outcome says whether the work was run.
 	Outcome Outcome
-	// RetryAfter is when to come back; 0 leaves the choice to the edge.
+	// RetryAfter is the delay after which the caller should retry. If it is 0, the
+	// code that writes the response chooses one.
 	RetryAfter time.Duration
-	// ID is the id to ask for later, "" where there is none.
+	// ID is the ID by which the work can be queried later, "" if there is none.
 	ID string
-	// Cause is the error underneath, nil where there is none.
+	// Cause is the wrapped error, or nil.
 	Cause error
 }
 
-// New returns an error of kind k, with the outcome that the table gives.
+// New returns an error of kind k with the default outcome of that kind.
 func New(k Kind, detail string) *Error {
 	return &Error{Kind: k, Detail: detail, Outcome: k.Row().Outcome}
 }
 
-// Wrap returns an error of kind k with cause underneath.
+// Wrap returns an error of kind k that wraps cause.
 func Wrap(k Kind, cause error, detail string) *Error {
 	e := New(k, detail)
 	e.Cause = cause
 	return e
 }
 
-// At returns an error of kind k with the path of the fault.
+// At returns an error of kind k about the input at path.
 func At(k Kind, path, detail string) *Error {
 	e := New(k, detail)
 	e.Path = path
 	return e
 }
 
-// Error returns the kind, the path and the detail in one line.
+// Error returns the kind, path, detail and cause on one line.
 func (e *Error) Error() string {
 	s := e.Kind.String()
 	if e.Path != "" {
@@ -190,25 +192,26 @@
 	return s
 }
 
-// Unwrap returns the error underneath.
+// Unwrap returns the wrapped error.
 func (e *Error) Unwrap() error { return e.Cause }
 
-// After returns e with the time to come back set.
+// After sets RetryAfter and returns e.
 func (e *Error) After(d time.Duration) *Error {
 	e.RetryAfter = d
 	return e
 }
 
-// Uncertain returns e with outcome Unknown and the id to ask for later.
+// Uncertain sets the outcome to Unknown and the ID by which the work can be
+// queried later, and returns e.
 func (e *Error) Uncertain(id string) *Error {
 	e.Outcome = Unknown
 	e.ID = id
 	return e
 }
 
-// Of returns err as an Error. An error that is none becomes Internal, and a
-// context's end becomes Lost: both have outcome Unknown, because nothing is
-// known of how far the work got.
+// Of returns the Error in err's chain. If there is none, it wraps err: the end of
+// a context becomes Lost, anything else Internal. Both have outcome Unknown,
+// because it is not known how far the work got.
 func Of(err error) *Error {
 	if err == nil {
 		return nil
--- a/kind/kind_test.go
+++ b/kind/kind_test.go
@@ -20,7 +20,7 @@
 }
 
 var _ = Describe("kinds", func() {
-	It("each have a whole row and a name of their own", func() {
+	It("each have a complete row and a unique name", func() {
 		names := map[string]bool{}
 		for _, k := range kind.All() {
 			row := k.Row()
@@ -36,12 +36,12 @@
 		}
 	})
 
-	It("promise nothing for errors that are not known", func() {
+	It("report outcome unknown for errors without a kind", func() {
 		Expect(kind.Of(errors.New("x")).Outcome).To(Equal(kind.Unknown))
 		Expect(kind.Of(context.DeadlineExceeded).Kind).To(Equal(kind.Lost))
 	})
 
-	It("travel between instances unchanged", func() {
+	It("are unchanged by encoding and decoding between instances", func() {
 		e := kind.At(kind.Deadline, "/p", "d").After(1500000000)
 		e.Uncertain("id")
 		Expect(wire.ErrorOf(wire.ToError(errors.Wrap(e, "outer")))).To(Equal(e))
