--- a/keys/keys.go
+++ b/keys/keys.go
@@ -12,39 +12,39 @@
 	"dewpass.org/kind"
 )
 
-// lookEvery bounds how often the files are looked at.
-const lookEvery = time.Second
+// checkInterval is the shortest interval between checks of the files.
+const checkInterval = time.Second
 
-// Files names the files of a Pair.
+// Files holds the paths of the files of a Pair, in PEM format.
 type Files struct {
 	Cert string `json:"cert"`
 	Key  string `json:"key"`
-	// CA holds the authorities that the other side's certificate must come
-	// from; "" asks the other side for none.
+	// CA holds the certificate authorities that must have signed the peer's
+	// certificate. If it is "", a server asks for no client certificate.
 	CA string `json:"ca,omitempty"`
 }
 
-// Pair is a certificate with its key and authorities.
+// Pair is a certificate with its private key and certificate authorities.
 type Pair struct {
 	files Files
 
-	mu     sync.Mutex
-	looked time.Time
-	stamp  [3]time.Time
-	cert   *tls.Certificate
-	pool   *x509.CertPool
+	mu        sync.Mutex
+	lastCheck time.Time
+	modTimes  [3]time.Time
+	cert      *tls.Certificate
+	pool      *x509.CertPool
 }
 
-// Load reads a pair. Its error is of kind BadSettings.
+// Load reads the files of a pair. Its error is of kind BadSettings.
 func Load(f Files) (*Pair, error) {
 	p := &Pair{files: f}
-	if err := p.read(); err != nil {
+	if err := p.load(); err != nil {
 		return nil, kind.Wrap(kind.BadSettings, err, "tls")
 	}
 	return p, nil
 }
 
-func (p *Pair) read() error {
+func (p *Pair) load() error {
 	cert, err := tls.LoadX509KeyPair(p.files.Cert, p.files.Key)
 	if err != nil {
 		return err
@@ -57,15 +57,15 @@
 		}
 		pool = x509.NewCertPool()
 		if !pool.AppendCertsFromPEM(raw) {
-			return kind.New(kind.BadSettings, p.files.CA+" holds no certificate")
+			return kind.New(kind.BadSettings, p.files.CA+" contains no PEM certificate")
 		}
 	}
 	p.cert, p.pool = &cert, pool
-	p.stamp = p.stamps()
+	p.modTimes = p.readModTimes()
 	return nil
 }
 
-func (p *Pair) stamps() [3]time.Time {
+func (p *Pair) readModTimes() [3]time.Time {
 	var out [3]time.Time
 	for i, name := range []string{p.files.Cert, p.files.Key, p.files.CA} {
 		if info, err := os.Stat(name); err == nil {
@@ -75,23 +75,24 @@
 	return out
 }
 
-// current returns the certificate and authorities in use.
+// current returns the certificate and authorities in use. It reloads the files if
+// they have changed.
 func (p *Pair) current() (*tls.Certificate, *x509.CertPool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if now := time.Now(); now.Sub(p.looked) > lookEvery {
-		p.looked = now
-		if p.stamps() != p.stamp {
-			// An error keeps the last good pair; the stamps differ still, so
-			// the files are read again at the next look.
-			_ = p.read()
+	if now := time.Now(); now.Sub(p.lastCheck) > checkInterval {
+		p.lastCheck = now
+		if p.readModTimes() != p.modTimes {
+			// On an error the last valid pair stays in use. modTimes is
+			// unchanged then, so the next check tries again.
+			_ = p.load()
 		}
 	}
 	return p.cert, p.pool
 }
 
-// Server returns a configuration for a listener. With authorities, clients
-// must show a certificate of theirs.
+// Server returns a configuration for a listener. If the pair has authorities,
+// clients must present a certificate that one of them has signed.
 func (p *Pair) Server() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
@@ -107,8 +108,9 @@
 	}
 }
 
-// Client returns a configuration for dialling an address by IP number. The
-// other side must show a certificate of the authorities for that number.
+// Client returns a configuration for dialling host, an IP address. The server
+// must present a certificate for that address that one of the pair's authorities
+// has signed.
 func (p *Pair) Client(host string) *tls.Config {
 	cert, pool := p.current()
 	return &tls.Config{
