--- a/settings/settings.go
+++ b/settings/settings.go
@@ -25,86 +25,88 @@
 	Hall     string   `json:"hall"`
 	Listen   Listen   `json:"listen"`
 	Platform Platform `json:"platform"`
-	// Peers are addresses at which other instances may be found at first.
+	// Peers are the addresses at which to look for other instances at the start.
 	Peers   []string `json:"peers"`
 	TLS     TLS      `json:"tls"`
 	Log     Log      `json:"log"`
 	Tracing Tracing  `json:"tracing"`
 	Pprof   bool     `json:"pprof"`
-	// TaskLease is how long tasks go on at a worker that hears nothing.
+	// TaskLease is how long a worker that receives no renewal keeps running its
+	// tasks.
 	TaskLease Duration `json:"task-lease"`
-	// StopWithin bounds a planned stop.
+	// StopWithin is the longest duration of a planned stop.
 	StopWithin Duration `json:"stop-within"`
-	// MemoryLimitMiB is the memory that the runtime tries to stay within; 0 is
-	// no limit.
+	// MemoryLimitMiB is the soft memory limit of the Go runtime; 0 is none.
 	MemoryLimitMiB int64 `json:"memory-limit-mib"`
-	// Cluster is set where the users' platform keeps the rows and lists the
-	// workers; Platform is not used then.
+	// Cluster is set if the users' platform stores the rows and lists the workers.
+	// Platform is not used then.
 	Cluster *Cluster `json:"cluster"`
 }
 
-// Cluster says where the services of the users' platform are, each as an
-// address by IP number, and what holds there.
+// Cluster holds the addresses of the services of the users' platform, by IP
+// address, and the parameters that apply there.
 type Cluster struct {
 	Store    string `json:"store"`
 	Machines string `json:"machines"`
 	Policy   string `json:"policy"`
-	// Ready is where the platform asks whether to send clients here.
+	// Ready is the address at which the platform checks whether to send clients
+	// to this instance.
 	Ready string `json:"ready"`
-	// Metrics is where the metrics are served, "" for nowhere.
+	// Metrics is the address at which metrics are served; "" disables them.
 	Metrics string `json:"metrics"`
-	// Lease is how long runs go on at a worker that hears nothing. The platform
-	// cuts it down to LeaseMost.
+	// Lease is how long runs continue at a worker that receives no renewal. It is
+	// limited to LeaseMost, the longest lease that the platform grants.
 	Lease     Duration `json:"lease"`
 	LeaseMost Duration `json:"lease-most"`
-	// Keep is how long a job that is over can be asked for.
+	// Keep is how long a job can be queried after it has ended.
 	Keep Duration `json:"keep"`
-	// Processor is the share of a processor that the instance has; those with
-	// more of it own cells first. 0 is not known.
+	// Processor is the share of a processor that the instance has, 0 if unknown.
+	// Instances with a larger share own cells first.
 	Processor float64 `json:"processor"`
-	// LinkMbps is what the instance's link carries, in Mbit/s: long lists are read in
-	// pieces that do not hold up other answers. 0 is not known.
+	// LinkMbps is the bandwidth of the instance's network link in Mbit/s, 0 if
+	// unknown. Long lists are read in parts small enough not to delay other
+	// responses on the link.
 	LinkMbps float64 `json:"link-mbps"`
-	// Cells is how many cells the workers are divided into, by their racks, when the
-	// deployment starts for the first time; 0 goes by the number of workers then.
-	// It stays as it was decided.
+	// Cells is the number of cells into which the workers are divided, by their
+	// racks, when the deployment starts for the first time. If it is 0, the number
+	// is derived from the number of workers at that time. It does not change later.
 	Cells int `json:"cells"`
 	// Grace is how long the platform waits for a planned stop.
 	Grace Duration `json:"grace"`
 }
 
-// Listen holds the addresses that an instance listens on, by IP number.
+// Listen holds the addresses on which an instance listens, by IP address.
 type Listen struct {
 	HTTP string `json:"http"`
 	Peer string `json:"peer"`
 }
 
-// Platform says where the platform is.
+// Platform holds the address of the platform.
 type Platform struct {
 	URL string `json:"url"`
 }
 
-// TLS names the key files; nil is plain TCP.
+// TLS holds the TLS files for each listener; nil means plain TCP.
 type TLS struct {
 	HTTP *keys.Files `json:"http"`
 	Peer *keys.Files `json:"peer"`
 }
 
-// Log says what is logged.
+// Log configures logging.
 type Log struct {
 	Level string `json:"level"`
 }
 
-// Tracing says where traces go.
+// Tracing configures the export of traces.
 type Tracing struct {
-	// OTLP is the URL of a receiver over HTTP; "" is none.
+	// OTLP is the URL of an OTLP receiver over HTTP; "" disables tracing.
 	OTLP string `json:"otlp"`
 }
 
-// Duration is a time.Duration written as "12s".
+// Duration is a time.Duration that is encoded in JSON as a string such as "12s".
 type Duration time.Duration
 
-// UnmarshalJSON reads d from a string.
+// UnmarshalJSON decodes d from a string.
 func (d *Duration) UnmarshalJSON(raw []byte) error {
 	var s string
 	if err := json.Unmarshal(raw, &s); err != nil {
@@ -125,7 +127,7 @@
 	defaultGrace      = 6 * time.Second
 )
 
-// Load reads a file of settings.
+// Load reads and validates a settings file.
 func Load(path string) (*Settings, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -134,8 +136,8 @@
 	return Parse(raw)
 }
 
-// Parse checks settings and fills in the defaults. Its error, of kind
-// BadSettings, names every fault with its path.
+// Parse validates settings and sets defaults. Its error, of kind BadSettings,
+// lists every fault with its path.
 func Parse(raw []byte) (*Settings, error) {
 	faults := settingsSchema.Check(raw)
 	s := &Settings{
@@ -143,10 +145,10 @@
 		StopWithin: Duration(defaultStopWithin),
 	}
 	if err := json.Unmarshal(raw, s); err == nil {
-		faults = append(faults, s.check()...)
+		faults = append(faults, s.validate()...)
 	}
 	if s.Cluster != nil {
-		s.Cluster.fill()
+		s.Cluster.setDefaults()
 	}
 	if len(faults) > 0 {
 		return nil, kind.At(kind.BadSettings, faults[0].Path, schema.Join(faults))
@@ -154,11 +156,11 @@
 	return s, nil
 }
 
-// LinkRate returns how many bytes a second the link carries, 0 if that is not known.
+// LinkRate returns the bandwidth of the link in bytes per second, 0 if unknown.
 func (c *Cluster) LinkRate() int { return int(c.LinkMbps * 1e6 / 8) }
 
-// fill sets the defaults of what was left out.
-func (c *Cluster) fill() {
+// setDefaults sets fields that are absent, and limits Lease to LeaseMost.
+func (c *Cluster) setDefaults() {
 	if c.Lease == 0 {
 		c.Lease = Duration(defaultLease)
 	}
@@ -173,8 +175,8 @@
 	}
 }
 
-// check finds what the schema cannot.
-func (s *Settings) check() []schema.Fault {
+// validate checks what the schema cannot express.
+func (s *Settings) validate() []schema.Fault {
 	var faults []schema.Fault
 	add := func(path, detail string) { faults = append(faults, schema.Fault{Path: path, Detail: detail}) }
 	for path, addr := range map[string]string{"/listen/http": s.Listen.HTTP, "/listen/peer": s.Listen.Peer} {
@@ -192,7 +194,7 @@
 		add("/task-lease", "must be at least "+minTaskLease.String())
 	}
 	if s.TLS.Peer != nil && s.TLS.Peer.CA == "" {
-		add("/tls/peer/ca", "is needed, so that instances know each other")
+		add("/tls/peer/ca", "is required, so that instances can authenticate each other")
 	}
 	return faults
 }
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -18,33 +18,33 @@
 	RunSpecs(t, "settings")
 }
 
-const good = `{"instance":"a-1","hall":"a","listen":{"http":"127.0.0.1:1","peer":"[::1]:2"},"platform":{"url":"http://127.0.0.1:3"}}`
+const validSettings = `{"instance":"a-1","hall":"a","listen":{"http":"127.0.0.1:1","peer":"[::1]:2"},"platform":{"url":"http://127.0.0.1:3"}}`
 
 var _ = Describe("settings", func() {
 	It("have defaults", func() {
-		s, err := settings.Parse([]byte(good))
+		s, err := settings.Parse([]byte(validSettings))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(time.Duration(s.TaskLease)).To(Equal(20 * time.Second))
 	})
 
-	It("with three faults name all three", func() {
+	It("are refused with an error that names all of three faults", func() {
 		_, err := settings.Parse([]byte(`{"instance":"A 1","hall":"a","listen":{"http":"localhost:1","peer":"127.0.0.1:2"},"platform":{"url":"http://p"},"task-lease":"1s"}`))
 		Expect(kind.Is(err, kind.BadSettings)).To(BeTrue())
 		Expect(err.Error()).To(And(ContainSubstring("/instance"), ContainSubstring("/listen/http"), ContainSubstring("/task-lease")))
 	})
 
-	DescribeTable("refuse", func(raw, path string) {
+	DescribeTable("are refused with", func(raw, path string) {
 		_, err := settings.Parse([]byte(raw))
 		Expect(err).To(MatchError(ContainSubstring(path)))
 	},
 		Entry("an unknown field", `{"instance":"a","hall":"a","listen":{"http":"127.0.0.1:1","peer":"127.0.0.1:2"},"platform":{"url":"http://p"},"colour":1}`, "colour"),
-		Entry("one address for both", `{"instance":"a","hall":"a","listen":{"http":"127.0.0.1:1","peer":"127.0.0.1:1"},"platform":{"url":"http://p"}}`, "/listen/peer"),
-		Entry("an address that is none", `{"instance":"a","hall":"a","listen":{"http":"127.0.0.900:1","peer":"127.0.0.1:1"},"platform":{"url":"http://p"}}`, "/listen/http"),
-		Entry("peer keys without authorities", `{"instance":"a","hall":"a","listen":{"http":"127.0.0.1:1","peer":"127.0.0.1:2"},"platform":{"url":"http://p"},"tls":{"peer":{"cert":"c","key":"k"}}}`, "/tls/peer/ca"),
+		Entry("the same address for HTTP and peers", `{"instance":"a","hall":"a","listen":{"http":"127.0.0.1:1","peer":"127.0.0.1:1"},"platform":{"url":"http://p"}}`, "/listen/peer"),
+		Entry("an invalid IP address", `{"instance":"a","hall":"a","listen":{"http":"127.0.0.900:1","peer":"127.0.0.1:1"},"platform":{"url":"http://p"}}`, "/listen/http"),
+		Entry("peer TLS files without certificate authorities", `{"instance":"a","hall":"a","listen":{"http":"127.0.0.1:1","peer":"127.0.0.1:2"},"platform":{"url":"http://p"},"tls":{"peer":{"cert":"c","key":"k"}}}`, "/tls/peer/ca"),
 	)
 })
 
 func FuzzParse(f *testing.F) {
-	f.Add([]byte(good))
+	f.Add([]byte(validSettings))
 	f.Fuzz(func(_ *testing.T, raw []byte) { _, _ = settings.Parse(raw) })
 }
--- a/settings/watch.go
+++ b/settings/watch.go
@@ -8,50 +8,51 @@
 	"time"
 )
 
-// watchEvery spaces the looks at a file that may change without a signal.
-const watchEvery = 2 * time.Second
+// pollInterval is the interval between checks of a file, which may change without a
+// signal.
+const pollInterval = 2 * time.Second
 
-// Watch calls changed with the settings of a file whenever the file has
-// changed, and failed with what is wrong with it if it cannot be taken; the
-// settings of before hold on then. It looks at the file again and again, and at
-// once when told to through again. It returns when ctx ends.
-func Watch(ctx context.Context, path string, again <-chan os.Signal, changed func(*Settings), failed func(error)) {
-	tick := time.NewTicker(watchEvery)
+// Watch calls onChange with the new settings whenever the settings file has changed.
+// If the file cannot be loaded, it calls onError with the error instead, and the
+// caller keeps the previous settings. Watch polls the file, and reloads it
+// unconditionally on each signal from reload. It returns when ctx ends.
+func Watch(ctx context.Context, path string, reload <-chan os.Signal, onChange func(*Settings), onError func(error)) {
+	tick := time.NewTicker(pollInterval)
 	defer tick.Stop()
-	last := stampOf(path)
+	last := fileVersionOf(path)
 	for {
-		told := false
+		forced := false
 		select {
-		case <-again:
-			told = true
+		case <-reload:
+			forced = true
 		case <-tick.C:
 		case <-ctx.Done():
 			return
 		}
-		now := stampOf(path)
-		if now == last && !told {
+		now := fileVersionOf(path)
+		if now == last && !forced {
 			continue
 		}
 		last = now
 		s, err := Load(path)
 		if err != nil {
-			failed(err)
+			onError(err)
 			continue
 		}
-		changed(s)
+		onChange(s)
 	}
 }
 
-// stamp tells one content of a file from another.
-type stamp struct {
+// fileVersion distinguishes versions of a file by size and modification time.
+type fileVersion struct {
 	size int64
 	time time.Time
 }
 
-func stampOf(path string) stamp {
+func fileVersionOf(path string) fileVersion {
 	info, err := os.Stat(path)
 	if err != nil {
-		return stamp{}
+		return fileVersion{}
 	}
-	return stamp{size: info.Size(), time: info.ModTime()}
+	return fileVersion{size: info.Size(), time: info.ModTime()}
 }
