--- a/telemetry/calls.go
+++ b/telemetry/calls.go
@@ -10,37 +10,38 @@
 	"dewpass.org/kind"
 )
 
-// Latency returns the bounds of the histograms of waits: from a millisecond up to
-// eight seconds, each twice the one before.
+// Latency returns the buckets of latency histograms. Their bounds double from
+// one millisecond to about eight seconds.
 func Latency() tally.DurationBuckets {
-	return tally.MustMakeExponentialDurationBuckets(time.Millisecond, 2, latencyBounds)
+	return tally.MustMakeExponentialDurationBuckets(time.Millisecond, 2, latencyBucketCount)
 }
 
-const latencyBounds = 14
+const latencyBucketCount = 14
 
-// okOutcome is the outcome of a call without an error; those with one have its kind.
+// okOutcome is the outcome label of calls without an error. The label of failed calls
+// is the name of the error's kind.
 const okOutcome = "ok"
 
-// Calls counts the calls to one service: NAME_calls_total by operation and outcome,
-// and NAME_call_seconds by operation.
+// Calls records the calls to one service: the counter NAME_calls_total by operation and
+// outcome, and the histogram NAME_call_seconds by operation.
 type Calls struct {
-	name  string
-	scope tally.Scope
-	bound tally.DurationBuckets
+	name    string
+	scope   tally.Scope
+	buckets tally.DurationBuckets
 }
 
-// NewCalls returns the counts of a service.
+// NewCalls returns the metrics of calls to the service name.
 func NewCalls(scope tally.Scope, name string) *Calls {
-	return &Calls{name: name, scope: scope, bound: Latency()}
+	return &Calls{name: name, scope: scope, buckets: Latency()}
 }
 
-// Done counts a call that was begun at begun and has ended with err.
-func (c *Calls) Done(op string, begun time.Time, err error) {
+// Done records a call of operation op that started at start and ended with err.
+func (c *Calls) Done(op string, start time.Time, err error) {
 	outcome := okOutcome
 	if err != nil {
 		outcome = kind.Of(err).Kind.String()
 	}
 	byOp := c.scope.Tagged(map[string]string{"op": op})
-	byOp.Histogram(c.name+"_call_seconds", c.bound).RecordDuration(time.Since(begun))
+	byOp.Histogram(c.name+"_call_seconds", c.buckets).RecordDuration(time.Since(start))
 	c.scope.Tagged(map[string]string{"op": op, "outcome": outcome}).Counter(c.name + "_calls_total").Inc(1)
 }
--- a/telemetry/doc.go
+++ b/telemetry/doc.go
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package telemetry makes what an instance is watched by: structured logs as
-// JSON lines, metrics by tally, and OpenTelemetry traces with a span for each
-// hop. A Kit is passed to whoever needs it; there is nothing global.
+// Package telemetry sets up the observability of an instance: structured logs as
+// JSON lines, metrics through tally, and OpenTelemetry traces with a span for
+// each hop. A Kit holds all three and is passed explicitly; there is no global
+// state.
 package telemetry
--- a/telemetry/telemetry.go
+++ b/telemetry/telemetry.go
@@ -25,30 +25,30 @@
 	"dewpass.org/kind"
 )
 
-// Kit is what a part of an instance is watched by. Make one with New, or Quiet
-// in tests.
+// Kit holds the logger, metrics scope and tracer of an instance. Make one with
+// New, or with Quiet in tests.
 type Kit struct {
 	Log    log.Logger
 	Scope  tally.Scope
 	Tracer trace.Tracer
-	// Metrics serves the metrics; nil if there are none.
+	// Metrics serves the metrics over HTTP; nil if there are none.
 	Metrics http.Handler
 	close   []func(context.Context) error
 }
 
-// Options says how to watch an instance.
+// Options configures a Kit.
 type Options struct {
 	Instance string
 	Hall     string
-	// Output takes the log lines.
+	// Output receives the log lines.
 	Output io.Writer
-	// Debug lets debug lines through.
+	// Debug enables debug log lines.
 	Debug bool
-	// OTLP is the URL of an OTLP receiver over HTTP, "" for no traces.
+	// OTLP is the URL of an OTLP receiver over HTTP; "" disables tracing.
 	OTLP string
 }
 
-// Quiet returns a kit that keeps nothing.
+// Quiet returns a kit that discards everything.
 func Quiet() *Kit {
 	return &Kit{
 		Log:    log.NewNopLogger(),
@@ -63,10 +63,10 @@
 	maxTraceQueue   = 512
 )
 
-// New returns the kit of an instance.
+// New returns a Kit for an instance. Call Close to release it.
 func New(ctx context.Context, o Options) (*Kit, error) {
 	k := &Kit{}
-	k.metrics(o)
+	k.initMetrics(o)
 	dropped := k.Scope.Counter("log_lines_dropped_total")
 	queue := logq.New(o.Output, func() { dropped.Inc(1) })
 	k.Log = newLogger(o, queue)
@@ -74,7 +74,7 @@
 		queue.Close()
 		return nil
 	})
-	if err := k.traces(ctx, o); err != nil {
+	if err := k.initTracing(ctx, o); err != nil {
 		return nil, err
 	}
 	return k, nil
@@ -90,7 +90,7 @@
 	return log.With(l, timeKey, log.DefaultTimestampUTC, "instance", o.Instance, "hall", o.Hall)
 }
 
-func (k *Kit) metrics(o Options) {
+func (k *Kit) initMetrics(o Options) {
 	reporter := prometheus.NewReporter(prometheus.Options{})
 	scope, closer := tally.NewRootScope(tally.ScopeOptions{
 		Prefix:          "dewpass",
@@ -104,7 +104,7 @@
 	k.close = append(k.close, func(context.Context) error { return closer.Close() })
 }
 
-func (k *Kit) traces(ctx context.Context, o Options) error {
+func (k *Kit) initTracing(ctx context.Context, o Options) error {
 	if o.OTLP == "" {
 		k.Tracer = noop.NewTracerProvider().Tracer("")
 		return nil
@@ -126,14 +126,14 @@
 	return nil
 }
 
-// Close sends what is left and ends the kit.
+// Close flushes buffered logs, metrics and traces, and stops their reporters.
 func (k *Kit) Close(ctx context.Context) {
 	for _, f := range k.close {
 		_ = f(ctx)
 	}
 }
 
-// Fail marks a span as failed if err is not nil, and ends it.
+// Fail ends a span. If err is not nil, the span is marked as failed.
 func Fail(span trace.Span, err error) {
 	if err != nil {
 		e := kind.Of(err)
@@ -147,14 +147,14 @@
 
 const traceparent = "traceparent"
 
-// Inject returns the W3C trace context of the span in ctx, "" if there is none.
+// Inject returns the W3C trace context of the span in ctx, or "" if there is none.
 func Inject(ctx context.Context) string {
 	c := propagation.MapCarrier{}
 	propagator.Inject(ctx, c)
 	return c[traceparent]
 }
 
-// Extract returns ctx with the span of a W3C trace context.
+// Extract returns a context with the remote span of a W3C trace context.
 func Extract(ctx context.Context, parent string) context.Context {
 	if parent == "" {
 		return ctx
@@ -162,7 +162,7 @@
 	return propagator.Extract(ctx, propagation.MapCarrier{traceparent: parent})
 }
 
-// ExtractHTTP returns ctx with the span of a request's headers.
+// ExtractHTTP returns a context with the remote span named by the request headers.
 func ExtractHTTP(ctx context.Context, h http.Header) context.Context {
 	return propagator.Extract(ctx, propagation.HeaderCarrier(h))
 }
