--- a/cmd/dewpass/entry.go
+++ b/cmd/dewpass/entry.go
@@ -23,8 +23,8 @@
 func entryCommand() *cli.Command {
 	return &cli.Command{
 		Name:        "entry",
-		Usage:       "run an entry instance until it is told to stop",
-		Description: "Logs go to standard output as JSON lines. SIGTERM or SIGINT begins a planned\nstop, which hands the racks on and cuts nothing in progress.\n\nExample: dewpass entry --settings naas-1.json",
+		Usage:       "run an entry instance until SIGTERM or SIGINT",
+		Description: "Logs are written to standard output as JSON lines. SIGTERM or SIGINT starts a\nplanned stop, which hands the racks over to other instances and interrupts no\ntask in progress.\n\nExample: dewpass entry --settings naas-1.json",
 		Flags:       []cli.Flag{settingsFlag()},
 		Action:      runEntry,
 	}
@@ -50,15 +50,15 @@
 	defer kit.Close(context.WithoutCancel(ctx))
 	if s.Cluster != nil {
 		changes := make(chan *settings.Settings)
-		go watch(ctx, path, kit.Log, changes)
+		go watchSettings(ctx, path, kit.Log, changes)
 		return cluster.Run(ctx, s, kit, platform.Services(s.Cluster), changes)
 	}
 	return entry.Run(ctx, s, kit)
 }
 
-// watch passes on the settings of a file whenever it changes or the process gets
-// SIGHUP.
-func watch(ctx context.Context, path string, logger log.Logger, changes chan<- *settings.Settings) {
+// watchSettings sends the settings to changes whenever their file changes or the
+// process receives SIGHUP. Settings that cannot be loaded are logged and not sent.
+func watchSettings(ctx context.Context, path string, logger log.Logger, changes chan<- *settings.Settings) {
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
 	defer signal.Stop(hup)
--- a/cmd/dewpass/explain.go
+++ b/cmd/dewpass/explain.go
@@ -22,9 +22,9 @@
 func explainCommand() *cli.Command {
 	return &cli.Command{
 		Name:        "explain",
-		Usage:       "tell the story of a request from the logs of any number of instances",
+		Usage:       "show what happened to a request, from the logs of one or more instances",
 		ArgsUsage:   "ID [FILE...]",
-		Description: "Reads the files, or standard input, merges them by time and prints what concerns\nthe request: each line that names it, and what instances believed meanwhile of\ncell leases, the store and the workers that it ran on.\n\nExample: dewpass explain 5c0e7a21d94b36f8 naas-1.log athy-1.log",
+		Description: "Reads the files, or standard input, merges them by time and prints the lines\nrelated to the request: those with its ID, and events of the same period about\ncell leases, the store, starts and stops, and the workers on which it ran.\n\nExample: dewpass explain 5c0e7a21d94b36f8 naas-1.log athy-1.log",
 		Action: func(_ context.Context, c *cli.Command) error {
 			if c.Args().Len() == 0 {
 				return kind.At(kind.BadRequest, "ID", "is missing")
@@ -38,7 +38,7 @@
 	}
 }
 
-// logLine is one line of a log.
+// logLine is a parsed log line.
 type logLine struct {
 	time, instance, event string
 	fields                map[string]any
@@ -66,8 +66,8 @@
 
 const maxLogLine = 1 << 20
 
-// parseLog reads lines; what stands before a line's first brace is passed over,
-// and lines that are none are as well.
+// parseLog parses JSON log lines. It ignores any text before the first brace of a
+// line, and skips lines that are not JSON objects.
 func parseLog(r io.Reader) ([]logLine, error) {
 	var all []logLine
 	s := bufio.NewScanner(r)
@@ -87,15 +87,15 @@
 	return all, s.Err()
 }
 
-// beliefs are the events that are told beside those of the request, because they
-// decide about every request of their time.
-var beliefs = []string{
+// contextEvents are the events that are printed along with those of the request,
+// because they affect every request of their time.
+var contextEvents = []string{
 	"cell_lease_taken", "cell_lease_lost", "cell_lease_not_released", "store", "paused", "suspended", "loaded",
 	"stopping", "started",
 	"worker_unreachable", "worker_dead", "worker_reborn", "lease_over",
 }
 
-// explain prints the story of a request.
+// explain prints the lines that name a request and their context, sorted by time.
 func explain(out io.Writer, id string, lines []logLine) error {
 	slices.SortStableFunc(lines, func(a, b logLine) int { return strings.Compare(a.time, b.time) })
 	first, last := -1, -1
@@ -115,8 +115,8 @@
 	if first < 0 {
 		return kind.New(kind.NotFound, "no line names "+id)
 	}
-	for _, l := range lines[before(lines, first) : last+1] {
-		if l.fields["job"] == id || believed(l, workers) {
+	for _, l := range lines[firstContextLine(lines, first) : last+1] {
+		if l.fields["job"] == id || isContext(l, workers) {
 			if _, err := fmt.Fprintln(out, l.String()); err != nil {
 				return err
 			}
@@ -125,35 +125,37 @@
 	return nil
 }
 
-// lookBack is how long before the first line of a request what instances believed
-// is told as well.
-const lookBack = 3 * time.Second
+// contextDuration is how long before the first line of a request context events are
+// included.
+const contextDuration = 3 * time.Second
 
-// before returns the index of the first line within lookBack of another.
-func before(lines []logLine, at int) int {
+// firstContextLine returns the index of the first line that is at most
+// contextDuration older than the line at index at.
+func firstContextLine(lines []logLine, at int) int {
 	then, err := time.Parse(time.RFC3339Nano, lines[at].time)
 	if err != nil {
 		return at
 	}
 	for ; at > 0; at-- {
 		t, err := time.Parse(time.RFC3339Nano, lines[at-1].time)
-		if err != nil || then.Sub(t) > lookBack {
+		if err != nil || then.Sub(t) > contextDuration {
 			break
 		}
 	}
 	return at
 }
 
-// believed reports whether a line that does not name the request bears on it.
-func believed(l logLine, workers map[any]bool) bool {
-	if !slices.Contains(beliefs, l.event) {
+// isContext reports whether l, which does not name the request, is a context event
+// of all requests or of one of the given workers.
+func isContext(l logLine, workers map[any]bool) bool {
+	if !slices.Contains(contextEvents, l.event) {
 		return false
 	}
 	w, ofWorker := l.fields["worker"]
 	return !ofWorker || workers[w]
 }
 
-// String returns the line with its fields in order.
+// String formats the line with its remaining fields sorted by name.
 func (l logLine) String() string {
 	names := make([]string, 0, len(l.fields))
 	for name := range l.fields {
--- a/cmd/dewpass/explain_test.go
+++ b/cmd/dewpass/explain_test.go
@@ -11,7 +11,7 @@
 )
 
 var _ = Describe("explain", func() {
-	It("merges logs and tells what concerns a request", func() {
+	It("merges logs and prints the lines related to a request", func() {
 		lines, err := parseLog(strings.NewReader(`
 {"time":"3","instance":"b","event":"start","job":"j","worker":"w1"}
 {"time":"1","instance":"a","event":"accepted","job":"j"}
--- a/cmd/dewpass/jobs.go
+++ b/cmd/dewpass/jobs.go
@@ -33,7 +33,7 @@
 		Flags: serverFlags(
 			&cli.StringFlag{Name: "state", Usage: "only jobs in `STATE`: queued, running, done, failed, cancelled, unknown, refused"},
 			&cli.StringFlag{Name: "workload", Usage: "only jobs of the workload at `PATH`"},
-			&cli.StringFlag{Name: "after", Usage: "`ID` after which to begin"},
+			&cli.StringFlag{Name: "after", Usage: "only jobs after `ID`"},
 			&cli.IntFlag{Name: "limit", Value: 100, Usage: "at most `N` jobs"},
 		),
 		Action: func(ctx context.Context, c *cli.Command) error {
@@ -42,16 +42,16 @@
 				"after": {c.String("after")}, "limit": {strconv.Itoa(c.Int("limit"))},
 			}
 			var list front.JobList
-			if err := server(c).Do(ctx, http.MethodGet, "/v1/jobs?"+q.Encode(), nil, &list); err != nil {
+			if err := newClient(c).Do(ctx, http.MethodGet, "/v1/jobs?"+q.Encode(), nil, &list); err != nil {
 				return err
 			}
-			return show(c, list, func() *table { return jobTable(list.Jobs...) })
+			return printResult(c, list, func() *table { return jobTable(list.Jobs...) })
 		},
 	}
 }
 
 func jobTable(jobs ...job.Job) *table {
-	t := &table{head: []string{"ID", "WORKLOAD", "SHOP", "STATE", "ATTEMPT", "RACK", "WORKER", "SUBMITTED", "WHY"}}
+	t := &table{header: []string{"ID", "WORKLOAD", "SHOP", "STATE", "ATTEMPT", "RACK", "WORKER", "SUBMITTED", "WHY"}}
 	for _, j := range jobs {
 		t.add(j.ID, j.Workload, j.Shop, j.State, j.Attempt, j.Rack, orDash(j.Worker),
 			j.Submitted.Format(time.RFC3339), orDash(j.Why))
@@ -64,7 +64,7 @@
 }
 
 func jobsCancel() *cli.Command {
-	return jobCommand("cancel", "ask for the end of a job", http.MethodDelete)
+	return jobCommand("cancel", "request the cancellation of a job", http.MethodDelete)
 }
 
 func jobCommand(name, usage, method string) *cli.Command {
@@ -79,10 +79,10 @@
 				return err
 			}
 			var j job.Job
-			if err := server(c).Do(ctx, method, "/v1/jobs/"+url.PathEscape(id), nil, &j); err != nil {
+			if err := newClient(c).Do(ctx, method, "/v1/jobs/"+url.PathEscape(id), nil, &j); err != nil {
 				return err
 			}
-			return show(c, j, func() *table { return jobTable(j) })
+			return printResult(c, j, func() *table { return jobTable(j) })
 		},
 	}
 }
@@ -99,7 +99,7 @@
 				return err
 			}
 			if c.String("output") == "json" {
-				return show(c, s, nil)
+				return printResult(c, s, nil)
 			}
 			if err := instanceTable(s).write(c.Root().Writer); err != nil {
 				return err
@@ -112,12 +112,12 @@
 
 func getStatus(ctx context.Context, c *cli.Command) (front.Status, error) {
 	var s front.Status
-	err := server(c).Do(ctx, http.MethodGet, "/v1/status", nil, &s)
+	err := newClient(c).Do(ctx, http.MethodGet, "/v1/status", nil, &s)
 	return s, err
 }
 
 func instanceTable(s front.Status) *table {
-	t := &table{head: []string{"INSTANCE", "HALL", "TREE", "RACKS", "LEAVING", "CUT OFF"}}
+	t := &table{header: []string{"INSTANCE", "HALL", "TREE", "RACKS", "LEAVING", "CUT OFF"}}
 	for _, in := range s.Instances {
 		t.add(in.Instance, in.Hall, in.TreeVersion, in.Racks, in.Leaving, in.CutOff)
 	}
@@ -125,7 +125,7 @@
 }
 
 func rackTable(s front.Status) *table {
-	t := &table{head: []string{"RACK", "HALL", "OWNER", "EPOCH", "WORKERS", "RUNNING", "QUEUED", "WAIT", "USED"}}
+	t := &table{header: []string{"RACK", "HALL", "OWNER", "EPOCH", "WORKERS", "RUNNING", "QUEUED", "WAIT", "USED"}}
 	for _, r := range s.Racks {
 		t.add(r.Rack, r.Hall, r.Owner, r.Epoch, fmt.Sprintf("%d/%d", r.Attached, r.Workers),
 			r.Running, r.Queued, time.Duration(r.WaitMS)*time.Millisecond, fmt.Sprintf("%.0f%%", r.Used*100))
--- a/cmd/dewpass/main.go
+++ b/cmd/dewpass/main.go
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Command dewpass is the whole product in one binary: the entry instance, and
-// the command line of the operators.
+// Command dewpass contains all of dewpass in one binary: the entry instance and
+// the operators' command-line interface.
 package main
 
 import (
@@ -18,7 +18,7 @@
 	"dewpass.org/kind"
 )
 
-// version is set by the build.
+// version is set at build time.
 var version = "dev"
 
 func main() {
@@ -27,19 +27,19 @@
 	os.Exit(run(ctx, os.Args, os.Stdout, os.Stderr))
 }
 
-// run runs the command line and returns its exit code.
-func run(ctx context.Context, args []string, out, errs io.Writer) int {
-	app := newApp(out, errs)
+// run executes the command line and returns its exit code.
+func run(ctx context.Context, args []string, stdout, stderr io.Writer) int {
+	app := newApp(stdout, stderr)
 	err := app.Run(ctx, args)
 	if err == nil {
 		return 0
 	}
-	fmt.Fprintln(errs, "dewpass:", err)
+	fmt.Fprintln(stderr, "dewpass:", err)
 	return exitCode(err)
 }
 
-// exitCode returns the code of an error: that of its kind, or 2 for a command
-// line that cannot be read.
+// exitCode returns the exit code of an error: that of its kind, or that of
+// BadRequest for an error of the command-line parser, which has no kind.
 func exitCode(err error) int {
 	e := kind.Of(err)
 	if e.Kind == kind.Internal && e.Cause == err {
@@ -48,19 +48,19 @@
 	return e.Kind.Row().Exit
 }
 
-func newApp(out, errs io.Writer) *cli.Command {
+func newApp(stdout, stderr io.Writer) *cli.Command {
 	return &cli.Command{
 		Name:                  "dewpass",
-		Usage:                 "a cluster scheduler for unlike workloads on one cell of workers",
+		Usage:                 "a cluster scheduler for mixed workloads on one cell of workers",
 		Version:               version,
 		EnableShellCompletion: true,
 		ConfigureShellCompletionCommand: func(c *cli.Command) {
 			c.Hidden = false
 		},
 		Suggest:     true,
-		Writer:      out,
-		ErrWriter:   errs,
-		Description: "Operators only edit the tree of settings; dewpass decides where and when each\ntask runs. Exit codes: 0 done, 2 bad input, 3 not found, 4 conflict,\n5 not allowed, 6 refused for now, 7 too late, 8 out of reach, 9 unknown,\n10 cancelled, 11 failed, 1 anything else.\n\nExample: dewpass status --server http://10.0.0.1:8080",
+		Writer:      stdout,
+		ErrWriter:   stderr,
+		Description: "Operators only edit the tree of settings; dewpass decides where and when each\ntask runs. Exit codes: 0 success, 2 bad input, 3 not found, 4 conflict,\n5 not allowed, 6 refused for now, 7 deadline, 8 unreachable, 9 unknown,\n10 cancelled, 11 failed, 1 anything else.\n\nExample: dewpass status --server http://10.0.0.1:8080",
 		ExitErrHandler: func(context.Context, *cli.Command, error) {
 			// run prints the error and chooses the exit code.
 		},
--- a/cmd/dewpass/output.go
+++ b/cmd/dewpass/output.go
@@ -22,16 +22,16 @@
 	clientTimeout = 10 * time.Second
 )
 
-// serverFlags are the flags of every command that asks an instance.
+// serverFlags returns the flags of a command that calls an instance.
 func serverFlags(more ...cli.Flag) []cli.Flag {
 	return append([]cli.Flag{
 		&cli.StringFlag{
 			Name: "server", Value: defaultServer, Sources: cli.EnvVars("DEWPASS_SERVER"),
-			Usage: "`URL` of any instance, or of the balancer",
+			Usage: "`URL` of any instance or of the load balancer",
 		},
 		&cli.StringFlag{
 			Name: "output", Aliases: []string{"o"}, Value: "table",
-			Usage: "`FORMAT` of the output: json or table",
+			Usage: "output `FORMAT`: json or table",
 			Validator: func(s string) error {
 				if s != "json" && s != "table" {
 					return kind.At(kind.BadRequest, "--output", "must be json or table")
@@ -42,14 +42,14 @@
 	}, more...)
 }
 
-func server(c *cli.Command) *client.Client {
+func newClient(c *cli.Command) *client.Client {
 	return &client.Client{
 		Base: strings.TrimSuffix(c.String("server"), "/"),
 		HTTP: &http.Client{Timeout: clientTimeout},
 	}
 }
 
-// argument returns the argument at a position, or an error that names it.
+// argument returns the i-th argument, or an error with its name if it is missing.
 func argument(c *cli.Command, i int, name string) (string, error) {
 	if c.Args().Len() <= i {
 		return "", kind.At(kind.BadRequest, name, "is missing; see --help")
@@ -57,10 +57,10 @@
 	return c.Args().Get(i), nil
 }
 
-// table is a table as it is printed.
+// table is a table of text with a header.
 type table struct {
-	head []string
-	rows [][]string
+	header []string
+	rows   [][]string
 }
 
 func (t *table) add(cells ...any) {
@@ -73,15 +73,16 @@
 
 func (t *table) write(w io.Writer) error {
 	tw := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(tw, strings.Join(t.head, "\t"))
+	fmt.Fprintln(tw, strings.Join(t.header, "\t"))
 	for _, r := range t.rows {
 		fmt.Fprintln(tw, strings.Join(r, "\t"))
 	}
 	return tw.Flush()
 }
 
-// show prints a value as JSON, or as the table that f makes of it.
-func show(c *cli.Command, v any, f func() *table) error {
+// printResult prints v as JSON, or the table that f returns if the output format is
+// table and f is not nil.
+func printResult(c *cli.Command, v any, f func() *table) error {
 	w := c.Root().Writer
 	if c.String("output") == "table" && f != nil {
 		return f().write(w)
--- a/cmd/dewpass/tree.go
+++ b/cmd/dewpass/tree.go
@@ -25,8 +25,8 @@
 	return &cli.Command{
 		Name:  "tree",
 		Usage: "read and edit the tree of settings",
-		Description: "Paths name a branch (tinting/shade-lookup), one of its settings\n" +
-			"(tinting/shade-lookup.deadline) or one of the root (.class).\n\nExample: dewpass tree get tinting/shade-lookup.deadline",
+		Description: "A path names a branch (tinting/shade-lookup), one of its settings\n" +
+			"(tinting/shade-lookup.deadline) or a setting of the root (.class).\n\nExample: dewpass tree get tinting/shade-lookup.deadline",
 		Commands: []*cli.Command{
 			treeGet(), treeSet(), treeUnset(), treeDiff(), treeLog(), treeCheck(), treeWait(),
 		},
@@ -44,30 +44,30 @@
 			if err != nil {
 				return err
 			}
-			return show(c, view.Value, nil)
+			return printResult(c, view.Value, nil)
 		},
 	}
 }
 
 func getTree(ctx context.Context, c *cli.Command, path string) (front.TreeView, error) {
 	var view front.TreeView
-	err := server(c).Do(ctx, http.MethodGet, "/v1/tree?path="+url.QueryEscape(path), nil, &view)
+	err := newClient(c).Do(ctx, http.MethodGet, "/v1/tree?path="+url.QueryEscape(path), nil, &view)
 	return view, err
 }
 
-// editFlags are the flags of the commands that edit.
+// editFlags returns the flags of the commands that edit the tree.
 func editFlags() []cli.Flag {
 	return serverFlags(
-		&cli.Uint64Flag{Name: "base", Usage: "`VERSION` that the edit was made on; 0 is the newest"},
-		&cli.StringFlag{Name: "id", Usage: "`ID` of the edit, so that it can be repeated safely"},
+		&cli.Uint64Flag{Name: "base", Usage: "`VERSION` on which the edit is based; 0 is the newest"},
+		&cli.StringFlag{Name: "id", Usage: "`ID` of the edit; an edit sent again with the same ID is applied once"},
 	)
 }
 
 func treeSet() *cli.Command {
 	return &cli.Command{
 		Name: "set", ArgsUsage: "PATH VALUE [PATH VALUE ...]",
-		Usage:       "set values, all of them or none",
-		Description: "A VALUE is JSON; a word that is none is taken as a string.\nAn empty PATH with @FILE as its VALUE sets the whole tree.\n\nExample: dewpass tree set tinting/shade-lookup.deadline 800ms",
+		Usage:       "set one or more values atomically",
+		Description: "A VALUE is JSON; anything else is taken as a string.\nAn empty PATH with @FILE as its VALUE replaces the whole tree.\n\nExample: dewpass tree set tinting/shade-lookup.deadline 800ms",
 		Flags:       editFlags(),
 		Action: func(ctx context.Context, c *cli.Command) error {
 			if c.Args().Len() == 0 || c.Args().Len()%2 != 0 {
@@ -75,19 +75,20 @@
 			}
 			var ops []tree.Op
 			for i := 0; i < c.Args().Len(); i += 2 {
-				v, err := value(c.Args().Get(i + 1))
+				v, err := parseValue(c.Args().Get(i + 1))
 				if err != nil {
 					return err
 				}
 				ops = append(ops, tree.Op{Path: c.Args().Get(i), Value: v})
 			}
-			return edit(ctx, c, ops)
+			return sendEdit(ctx, c, ops)
 		},
 	}
 }
 
-// value reads a value of the command line.
-func value(s string) (json.RawMessage, error) {
+// parseValue returns the JSON of a value argument: the contents of FILE for @FILE,
+// the argument itself if it is JSON, else the argument as a JSON string.
+func parseValue(s string) (json.RawMessage, error) {
 	if len(s) > 1 && s[0] == '@' {
 		raw, err := os.ReadFile(s[1:])
 		if err != nil {
@@ -104,7 +105,7 @@
 func treeUnset() *cli.Command {
 	return &cli.Command{
 		Name: "unset", ArgsUsage: "PATH [PATH ...]",
-		Usage:       "unset values, so that they are inherited again",
+		Usage:       "remove settings or branches; removed settings are inherited again",
 		Description: "Example: dewpass tree unset tinting/shade-lookup.deadline",
 		Flags:       editFlags(),
 		Action: func(ctx context.Context, c *cli.Command) error {
@@ -115,12 +116,12 @@
 			for _, p := range c.Args().Slice() {
 				ops = append(ops, tree.Op{Path: p})
 			}
-			return edit(ctx, c, ops)
+			return sendEdit(ctx, c, ops)
 		},
 	}
 }
 
-func edit(ctx context.Context, c *cli.Command, ops []tree.Op) error {
+func sendEdit(ctx context.Context, c *cli.Command, ops []tree.Op) error {
 	e := tree.Edit{ID: c.String("id"), Base: c.Uint64("base"), Ops: ops, Who: os.Getenv("USER")}
 	if e.ID == "" {
 		e.ID = uid.New()
@@ -133,14 +134,14 @@
 		e.Base = view.Version
 	}
 	var entry tree.Entry
-	if err := server(c).Do(ctx, http.MethodPost, "/v1/tree/edits", e, &entry); err != nil {
+	if err := newClient(c).Do(ctx, http.MethodPost, "/v1/tree/edits", e, &entry); err != nil {
 		return err
 	}
-	return show(c, entry, func() *table { return changeTable(entry.Version, entry.Changes) })
+	return printResult(c, entry, func() *table { return changeTable(entry.Version, entry.Changes) })
 }
 
 func changeTable(version uint64, changes []tree.Change) *table {
-	t := &table{head: []string{"VERSION", "PATH", "FROM", "TO"}}
+	t := &table{header: []string{"VERSION", "PATH", "FROM", "TO"}}
 	for _, ch := range changes {
 		t.add(version, ch.Path, orDash(string(ch.From)), orDash(string(ch.To)))
 	}
@@ -171,7 +172,7 @@
 				return kind.Wrap(kind.Damaged, err, "tree")
 			}
 			changes := tree.Diff(&now, next)
-			return show(c, changes, func() *table { return changeTable(view.Version, changes) })
+			return printResult(c, changes, func() *table { return changeTable(view.Version, changes) })
 		},
 	}
 }
@@ -189,15 +190,15 @@
 		Name:        "log",
 		Usage:       "print the accepted edits",
 		Description: "Example: dewpass tree log --after 41",
-		Flags:       serverFlags(&cli.Uint64Flag{Name: "after", Usage: "`VERSION` after which to begin"}),
+		Flags:       serverFlags(&cli.Uint64Flag{Name: "after", Usage: "only edits after `VERSION`"}),
 		Action: func(ctx context.Context, c *cli.Command) error {
 			var entries []tree.Entry
 			path := "/v1/tree/log?after=" + strconv.FormatUint(c.Uint64("after"), 10)
-			if err := server(c).Do(ctx, http.MethodGet, path, nil, &entries); err != nil {
+			if err := newClient(c).Do(ctx, http.MethodGet, path, nil, &entries); err != nil {
 				return err
 			}
-			return show(c, entries, func() *table {
-				t := &table{head: []string{"VERSION", "AT", "WHO", "PATH", "FROM", "TO"}}
+			return printResult(c, entries, func() *table {
+				t := &table{header: []string{"VERSION", "AT", "WHO", "PATH", "FROM", "TO"}}
 				for _, e := range entries {
 					for _, ch := range e.Changes {
 						t.add(e.Version, e.At.Format(time.RFC3339), orDash(e.Edit.Who), ch.Path,
@@ -236,14 +237,14 @@
 	}
 }
 
-const waitPoll = 200 * time.Millisecond
+const waitPollInterval = 200 * time.Millisecond
 
 func treeWait() *cli.Command {
 	return &cli.Command{
 		Name: "wait", ArgsUsage: "VERSION",
-		Usage:       "wait until a version is in force at every instance that can be reached",
+		Usage:       "wait until a version is in force at every reachable instance",
 		Description: "Example: dewpass tree wait 42 --timeout 5s",
-		Flags:       serverFlags(&cli.DurationFlag{Name: "timeout", Value: clientTimeout, Usage: "`DURATION` to wait for"}),
+		Flags:       serverFlags(&cli.DurationFlag{Name: "timeout", Value: clientTimeout, Usage: "maximum `DURATION` to wait"}),
 		Action: func(ctx context.Context, c *cli.Command) error {
 			arg, err := argument(c, 0, "VERSION")
 			if err != nil {
@@ -263,19 +264,19 @@
 func awaitVersion(ctx context.Context, c *cli.Command, version uint64) error {
 	for {
 		s, err := getStatus(ctx, c)
-		if err == nil && inForce(s, version) {
+		if err == nil && inForceEverywhere(s, version) {
 			_, err = fmt.Fprintf(c.Root().Writer, "version %d is in force at %d instances\n", version, len(s.Instances))
 			return err
 		}
 		select {
-		case <-time.After(waitPoll):
+		case <-time.After(waitPollInterval):
 		case <-ctx.Done():
 			return kind.New(kind.Deadline, fmt.Sprintf("version %d is not in force everywhere yet", version))
 		}
 	}
 }
 
-func inForce(s front.Status, version uint64) bool {
+func inForceEverywhere(s front.Status, version uint64) bool {
 	for _, in := range s.Instances {
 		if in.TreeVersion < version {
 			return false
@@ -287,7 +288,7 @@
 func workloadCommand() *cli.Command {
 	return &cli.Command{
 		Name: "workload", ArgsUsage: "[PATH]",
-		Usage:       "print the workloads, or one with the branch that each value came from",
+		Usage:       "list the workloads, or print one with the branch that sets each value",
 		Description: "Example: dewpass workload tinting/shade-lookup",
 		Flags:       serverFlags(),
 		Action: func(ctx context.Context, c *cli.Command) error {
@@ -299,21 +300,21 @@
 				Team   string                `json:"team"`
 				Values map[string]tree.Value `json:"values"`
 			}
-			if err := server(c).Do(ctx, http.MethodGet, "/v1/workloads/"+c.Args().First(), nil, &w); err != nil {
+			if err := newClient(c).Do(ctx, http.MethodGet, "/v1/workloads/"+c.Args().First(), nil, &w); err != nil {
 				return err
 			}
-			return show(c, w, func() *table { return valueTable(w.Values) })
+			return printResult(c, w, func() *table { return valueTable(w.Values) })
 		},
 	}
 }
 
 func listWorkloads(ctx context.Context, c *cli.Command) error {
 	var names []string
-	if err := server(c).Do(ctx, http.MethodGet, "/v1/workloads", nil, &names); err != nil {
+	if err := newClient(c).Do(ctx, http.MethodGet, "/v1/workloads", nil, &names); err != nil {
 		return err
 	}
-	return show(c, names, func() *table {
-		t := &table{head: []string{"WORKLOAD"}}
+	return printResult(c, names, func() *table {
+		t := &table{header: []string{"WORKLOAD"}}
 		for _, n := range names {
 			t.add(n)
 		}
@@ -327,7 +328,7 @@
 		names = append(names, n)
 	}
 	sort.Strings(names)
-	t := &table{head: []string{"SETTING", "VALUE", "FROM"}}
+	t := &table{header: []string{"SETTING", "VALUE", "FROM"}}
 	for _, n := range names {
 		from := values[n].From
 		if from == "" {
