--- a/ports/gate.go
+++ b/ports/gate.go
@@ -53,11 +53,11 @@
 // the breaker is closed, so that only reads probe whether the service is back:
 // the outcome of a write without a reply is unknown, while a read without one
 // does no harm.
-func (g *callLimiter) acquireForWrite(ctx context.Context) (func(error), error) {
-	if g.breaker.State() != gobreaker.StateClosed {
+func (l *callLimiter) acquireForWrite(ctx context.Context) (func(error), error) {
+	if l.breaker.State() != gobreaker.StateClosed {
 		return nil, breakerOpenError(gobreaker.ErrOpenState)
 	}
-	return g.acquire(ctx)
+	return l.acquire(ctx)
 }
 
 func breakerOpenError(cause error) error {
@@ -66,17 +66,17 @@
 
 // acquire checks the breaker and waits for the rate limit. The caller must call
 // the returned function with the error of the call.
-func (g *callLimiter) acquire(ctx context.Context) (func(error), error) {
-	done, err := g.breaker.Allow()
+func (l *callLimiter) acquire(ctx context.Context) (func(error), error) {
+	done, err := l.breaker.Allow()
 	if err != nil {
 		return nil, breakerOpenError(err)
 	}
-	if err := g.limiter.Wait(ctx); err != nil {
+	if err := l.limiter.Wait(ctx); err != nil {
 		done(nil)
 		return nil, kind.Wrap(kind.Unavailable, err, "rate limit for calls to the platform: no call possible before the deadline")
 	}
 	return func(err error) {
-		g.adaptRate(err)
+		l.adaptRate(err)
 		done(outageError(err))
 	}, nil
 }
@@ -90,21 +90,21 @@
 	return nil
 }
 
-func (g *callLimiter) adaptRate(err error) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
+func (l *callLimiter) adaptRate(err error) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	if !kind.Is(err, kind.RateLimited) {
 		if err == nil {
-			g.currentRate = min(g.currentRate+rateIncrement, maxRate)
-			g.limiter.SetLimit(rate.Limit(g.currentRate))
+			l.currentRate = min(l.currentRate+rateIncrement, maxRate)
+			l.limiter.SetLimit(rate.Limit(l.currentRate))
 		}
 		return
 	}
 	// Halve at most once a second: the refusals of one burst have the same cause.
-	if time.Since(g.lastDecrease) < time.Second {
+	if time.Since(l.lastDecrease) < time.Second {
 		return
 	}
-	g.lastDecrease = time.Now()
-	g.currentRate = max(g.currentRate/2, minRate)
-	g.limiter.SetLimit(rate.Limit(g.currentRate))
+	l.lastDecrease = time.Now()
+	l.currentRate = max(l.currentRate/2, minRate)
+	l.limiter.SetLimit(rate.Limit(l.currentRate))
 }
