--- a/cell/late.go
+++ b/cell/late.go
@@ -11,7 +11,7 @@
 // minLateStart is how long a step has to wait until its last task starts for this to be reported.
 const minLateStart = 250 * time.Millisecond
 
-// Asking: the policy is being asked about the step, and no worker that may run it has room.
+// Asking is the reason while the policy is asked about the step and no worker for it has room.
 const Asking WaitReason = "asking"
 
 // LateStart is a step whose last task was started late.
