--- a/entry/entry.go
+++ b/entry/entry.go
@@ -40,7 +40,7 @@
 	register *tree.Register
 	store    *tree.Store
 	peers    *hall.Peers
-	keeper   *hall.Keeper
+	keeper   *hall.Coordinator
 	owner    *owner.Owner
 	front    *front.Front
 	dialer   *link.Dialer
@@ -110,7 +110,7 @@
 
 func (e *Entry) buildKeeper() {
 	s := e.settings
-	e.keeper = &hall.Keeper{
+	e.keeper = &hall.Coordinator{
 		Instance: s.Instance, Boot: e.boot, Hall: s.Hall,
 		Table: e.platform, List: e.platform, Peers: e.peers, Send: e.dialer, Log: e.kit.Log,
 	}
@@ -122,8 +122,8 @@
 	e.owner = owner.New(work, owner.Config{
 		Name: e.keeper.Name(), Hall: s.Hall, Connect: e.workers.At,
 		Table: e.platform, Objects: e.platform, Journal: e.journal, Tree: e.register,
-		LastHeartbeat: e.keeper.Shown,
-		FindRack:      e.elsewhere, NotifyMoved: e.tell, OnOwnershipDoubt: e.keeper.Nudge,
+		LastHeartbeat: e.keeper.LastRenewal,
+		FindRack:      e.elsewhere, NotifyMoved: e.tell, OnOwnershipDoubt: e.keeper.RequestAudit,
 		Log: e.kit.Log, Scope: e.kit.Scope, Tracer: e.kit.Tracer,
 		TaskLease: time.Duration(s.TaskLease),
 	})
--- a/entry/greet.go
+++ b/entry/greet.go
@@ -167,7 +167,7 @@
 	round := e.spread.next()
 	version := e.register.Now().Version
 	seen, owned := e.seenBy(), e.spread.ownedAt()
-	for _, addr := range e.peers.Greet(clock.Now()) {
+	for _, addr := range e.peers.HelloTargets(clock.Now()) {
 		if addr == e.settings.Listen.Peer {
 			continue
 		}
@@ -244,7 +244,7 @@
 		return
 	}
 	_, known := e.peers.Get(h.Instance)
-	e.peers.Heard(h, clock.Now())
+	e.peers.HandleHello(h, clock.Now())
 	if h.Hall == e.settings.Hall {
 		e.owner.MarkLeaving(h.LeavingWorkers)
 	}
@@ -297,7 +297,7 @@
 	case *wire.Request_Tree:
 		return e.handleTree(b.Tree)
 	case *wire.Request_Handover:
-		e.keeper.Nudge()
+		e.keeper.RequestAudit()
 		return &wire.Reply{Body: &wire.Reply_Handover{Handover: &wire.HandoverReply{}}}, nil
 	case *wire.Request_Status:
 		raw, err := json.Marshal(e.front.HallStatus())
--- a/hall/assign.go
+++ b/hall/assign.go
@@ -8,13 +8,14 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// weight is the rendezvous weight of a rack at a member.
+// weight returns the rendezvous weight of a rack at a member.
 func weight(rack, member string) uint64 {
 	return xxhash.Sum64String(member + "\x00" + rack)
 }
 
-// Rank returns the members in the order in which they should do something that
-// one of them has to do, such as reading the tree.
+// Rank returns the members in order of preference for a task that only one of
+// them performs, such as reading the tree. All instances that know the same
+// members compute the same order.
 func Rank(what string, members []string) []string {
 	out := append([]string(nil), members...)
 	sort.Slice(out, func(i, j int) bool {
@@ -61,6 +62,7 @@
 	return out
 }
 
+// firstBelow returns the first of the ranked members that owns less than its share.
 func firstBelow(ranked []string, load map[string]int, share int) string {
 	for _, m := range ranked {
 		if load[m] < share {
@@ -70,8 +72,8 @@
 	return ranked[0]
 }
 
-// balance moves racks from the fullest members to those that have at least two
-// fewer, so that a member that has just come gets its part.
+// balance moves racks from the most loaded member to the least loaded one until
+// their loads differ by at most one, so that a new member gets its share.
 func balance(out map[string]string, racks, members []string, load map[string]int) {
 	for {
 		most, least := extremes(members, load)
@@ -90,6 +92,7 @@
 	}
 }
 
+// extremes returns the members with the most and the fewest racks.
 func extremes(members []string, load map[string]int) (most, least string) {
 	sorted := append([]string(nil), members...)
 	sort.Strings(sorted)
--- a/hall/hall_test.go
+++ b/hall/hall_test.go
@@ -28,7 +28,7 @@
 	RunSpecs(t, "hall")
 }
 
-func named(prefix string, n int) []string {
+func numbered(prefix string, n int) []string {
 	out := make([]string, n)
 	for i := range out {
 		out[i] = fmt.Sprintf("%s%d", prefix, i)
@@ -37,10 +37,10 @@
 }
 
 var _ = Describe("the assignment of racks", func() {
-	It("is even, complete, and moves few racks", func() {
+	It("is even and complete, and moves few racks for a new member", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
-			racks := named("r", rapid.IntRange(0, 60).Draw(t, "racks"))
-			members := named("m", rapid.IntRange(1, 10).Draw(t, "members"))
+			racks := numbered("r", rapid.IntRange(0, 60).Draw(t, "racks"))
+			members := numbered("m", rapid.IntRange(1, 10).Draw(t, "members"))
 			before := hall.Assign(racks, members, nil)
 			load := map[string]int{}
 			for _, r := range racks {
@@ -69,103 +69,103 @@
 
 var _ = Describe("peers", func() {
 	now := time.Now()
-	It("believe the higher of two claims", func() {
+	It("return the claim with the higher epoch", func() {
 		p := hall.NewPeers("me", "h", nil)
 		for i, epoch := range []uint64{4, 6, 5} {
-			p.Heard(&wire.Hello{
+			p.HandleHello(&wire.Hello{
 				Instance: fmt.Sprint(i), Hall: "h", PeerAddr: fmt.Sprint("a", i), RacksSeq: 1,
 				Racks: []*wire.Rack{{Rack: "r", EpochTable: epoch}},
 			}, now)
 		}
 		Expect(p.Claims("h", now)["r"].Owner).To(Equal("1"))
-		Expect(p.Claims("h", now.Add(time.Minute))).To(BeEmpty(), "the silent claim nothing")
+		Expect(p.Claims("h", now.Add(time.Minute))).To(BeEmpty(), "claims of silent peers do not count")
 	})
 
-	It("of another hall are tried again after all of them fell silent", func() {
+	It("of another hall are retried after all of them fell silent", func() {
 		p := hall.NewPeers("me", "h", nil)
 		for _, name := range []string{"x1", "x2"} {
-			p.Heard(&wire.Hello{Instance: name, Hall: "x", PeerAddr: "addr-" + name}, now)
+			p.HandleHello(&wire.Hello{Instance: name, Hall: "x", PeerAddr: "addr-" + name}, now)
 		}
-		Expect(p.Greet(now)).To(HaveLen(1), "one of a hall is enough")
+		Expect(p.HelloTargets(now)).To(HaveLen(1), "one peer of another hall is enough")
 		later := now.Add(time.Hour)
-		Expect(p.Greet(later)).To(ConsistOf("addr-x1", "addr-x2"))
-		Expect(p.Greet(later.Add(time.Second))).To(BeEmpty(), "not all the time")
+		Expect(p.HelloTargets(later)).To(ConsistOf("addr-x1", "addr-x2"))
+		Expect(p.HelloTargets(later.Add(time.Second))).To(BeEmpty(), "not before the retry interval is over")
 	})
 
 	It("count the instances of halls of which they greet only one", func() {
 		p := hall.NewPeers("me", "h", nil)
-		p.Heard(&wire.Hello{Instance: "a", Hall: "h", Members: 2}, now)
-		p.Heard(&wire.Hello{Instance: "x1", Hall: "x", Members: 7}, now)
-		p.Heard(&wire.Hello{Instance: "x2", Hall: "x", Members: 6}, now)
+		p.HandleHello(&wire.Hello{Instance: "a", Hall: "h", Members: 2}, now)
+		p.HandleHello(&wire.Hello{Instance: "x1", Hall: "x", Members: 7}, now)
+		p.HandleHello(&wire.Hello{Instance: "x2", Hall: "x", Members: 6}, now)
 		Expect(p.Instances(now)).To(Equal(1 + 1 + 7))
 		Expect(p.Instances(now.Add(time.Hour))).To(Equal(1))
 	})
 
 	It("keep the racks of a hello that leaves them out", func() {
 		p := hall.NewPeers("me", "h", nil)
-		p.Heard(&wire.Hello{Instance: "a", Hall: "h", RacksSeq: 1, Racks: []*wire.Rack{{Rack: "r"}}}, now)
-		p.Heard(&wire.Hello{Instance: "a", Hall: "h", RacksSeq: 1, RacksOmitted: true}, now)
+		p.HandleHello(&wire.Hello{Instance: "a", Hall: "h", RacksSeq: 1, Racks: []*wire.Rack{{Rack: "r"}}}, now)
+		p.HandleHello(&wire.Hello{Instance: "a", Hall: "h", RacksSeq: 1, RacksOmitted: true}, now)
 		Expect(p.Claims("h", now)).To(HaveKey("r"))
-		p.Heard(&wire.Hello{Instance: "a", Hall: "h", RacksSeq: 2}, now)
+		p.HandleHello(&wire.Hello{Instance: "a", Hall: "h", RacksSeq: 2}, now)
 		Expect(p.Claims("h", now)).To(BeEmpty())
 	})
 })
 
-// racks is what a keeper is given in place of an owner.
-type racks struct {
+// fakeRacks stands in for the owner of racks.
+type fakeRacks struct {
 	mu    sync.Mutex
 	owned map[string]lease.Epoch
-	// adopted counts every adoption, also of racks that were handed on.
+	// adopted counts every call of Adopt, also for racks that were handed over later.
 	adopted int
-	// busy keeps racks from closing; opened counts those that were kept.
+	// busy makes Close fail; opened counts the calls of Open.
 	busy   bool
 	opened int
 }
 
-func (r *racks) adoptions() int {
+func (r *fakeRacks) adoptions() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.adopted
 }
 
-func (r *racks) Adopt(name string, e lease.Epoch, _ uint64, _ []ports.Instance) {
+func (r *fakeRacks) Adopt(name string, e lease.Epoch, _ uint64, _ []ports.Instance) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.owned[name] = e
 	r.adopted++
 }
 
-func (r *racks) Close(context.Context, string) bool {
+func (r *fakeRacks) Close(context.Context, string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return !r.busy
 }
 
-func (r *racks) Open(string) {
+func (r *fakeRacks) Open(string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.opened++
 }
 
-func (r *racks) set(busy bool) {
+func (r *fakeRacks) setBusy(busy bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.busy = busy
 }
 
-func (r *racks) openings() int {
+func (r *fakeRacks) openings() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.opened
 }
 
-func (r *racks) Drop(name string) {
+func (r *fakeRacks) Drop(name string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	delete(r.owned, name)
 }
 
-func (r *racks) Owned() map[string]lease.Epoch {
+func (r *fakeRacks) Owned() map[string]lease.Epoch {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	out := make(map[string]lease.Epoch)
@@ -175,33 +175,33 @@
 	return out
 }
 
-func (r *racks) Workers([]ports.Instance) {}
+func (r *fakeRacks) Workers([]ports.Instance) {}
 
-// list is a list of instances that never changes.
-type list []ports.Instance
+// fixedInstances is a list of instances that never changes.
+type fixedInstances []ports.Instance
 
-func (l list) List(context.Context, string, string) (ports.Listing, error) {
+func (l fixedInstances) List(context.Context, string, string) (ports.Listing, error) {
 	return ports.Listing{Version: "1", Instances: l}, nil
 }
 
-// silentSender reaches nobody.
-type silentSender struct{}
+// unreachableSender fails every request.
+type unreachableSender struct{}
 
-func (silentSender) Do(context.Context, string, *wire.Request) (*wire.Reply, error) {
+func (unreachableSender) Do(context.Context, string, *wire.Request) (*wire.Reply, error) {
 	return nil, kind.New(kind.Unavailable, "test")
 }
 
-var _ = Describe("a keeper", func() {
+var _ = Describe("a coordinator", func() {
 	var table *standin.Local
-	workers := list{
+	workers := fixedInstances{
 		{ID: "w1", Role: ports.RoleWorker, Hall: "h", Rack: "r1"},
 		{ID: "w2", Role: ports.RoleWorker, Hall: "h", Rack: "r2"},
 	}
-	start := func(instance string, peers *hall.Peers) (*hall.Keeper, *racks, context.CancelFunc) {
-		r := &racks{owned: make(map[string]lease.Epoch)}
-		k := &hall.Keeper{
+	start := func(instance string, peers *hall.Peers) (*hall.Coordinator, *fakeRacks, context.CancelFunc) {
+		r := &fakeRacks{owned: make(map[string]lease.Epoch)}
+		k := &hall.Coordinator{
 			Instance: instance, Boot: "b", Hall: "h", Table: table, List: workers,
-			Peers: peers, Racks: r, Send: silentSender{}, Log: log.NewNopLogger(),
+			Peers: peers, Racks: r, Send: unreachableSender{}, Log: log.NewNopLogger(),
 		}
 		k.Init()
 		ctx, cancel := context.WithCancel(context.Background())
@@ -216,17 +216,17 @@
 	}
 	BeforeEach(func() { table = standin.NewLocal() })
 
-	It("takes racks that nobody owns, and those of an instance that is gone", func() {
+	It("takes racks without an owner, and those of a stopped instance after its lease", func() {
 		_, first, stop := start("one", hall.NewPeers("one", "h", nil))
 		Eventually(first.Owned).Should(HaveLen(2))
 		stop()
 		_, second, _ := start("two", hall.NewPeers("two", "h", nil))
-		Consistently(second.Owned, hall.MemberLease/2).Should(BeEmpty(), "not before the lease is over")
+		Consistently(second.Owned, hall.MemberLease/2).Should(BeEmpty(), "the lease is not over yet")
 		Eventually(second.Owned, 3*hall.MemberLease).Should(HaveLen(2))
 		Expect(owner("r1").Epoch).To(BeEquivalentTo(2))
 	})
 
-	It("never takes a rack from an owner that shows itself in the table", func() {
+	It("never takes a rack from an owner that sends heartbeats to the table", func() {
 		_, first, _ := start("one", hall.NewPeers("one", "h", nil))
 		Eventually(first.Owned).Should(HaveLen(2))
 		_, second, _ := start("two", hall.NewPeers("two", "h", nil))
@@ -234,7 +234,7 @@
 		Expect(owner("r1").Owner).To(Equal("one@b"))
 	})
 
-	It("takes a rack at once from an instance that took its leave", func(ctx context.Context) {
+	It("takes a rack without waiting from an instance that has left", func(ctx context.Context) {
 		k, first, stop := start("one", hall.NewPeers("one", "h", nil))
 		Eventually(first.Owned).Should(HaveLen(2))
 		stop()
@@ -243,7 +243,7 @@
 		Eventually(second.Owned, hall.MemberLease/2).Should(HaveLen(2))
 	})
 
-	It("drops a rack that the table says is another's", func() {
+	It("drops a rack that belongs to another instance by the table", func() {
 		k, first, _ := start("one", hall.NewPeers("one", "h", nil))
 		Eventually(first.Owned).Should(HaveLen(2))
 		key := hall.RackKey("h", "r1")
@@ -251,11 +251,11 @@
 			{Key: key, Value: []byte(`{"owner":"x@y","epoch":9}`)},
 			{Key: "member/h/x@y", Value: []byte(`{}`)},
 		}})
-		k.Nudge()
+		k.RequestAudit()
 		Eventually(first.Owned).Should(HaveLen(1))
 	})
 
-	It("takes what was handed to it though another should own it by now", func() {
+	It("takes a rack that was handed to it even if it is assigned to another instance by now", func() {
 		peers := hall.NewPeers("two", "h", nil)
 		start("one", hall.NewPeers("one", "h", nil))
 		key := hall.RackKey("h", "r1")
@@ -263,9 +263,9 @@
 		stop := make(chan struct{})
 		defer close(stop)
 		go func() {
-			// One says hello and claims nothing, so that either may be assigned.
+			// "one" sends hellos and claims nothing, so that racks may be assigned to either.
 			for {
-				peers.Heard(&wire.Hello{Instance: "one", Hall: "h", Boot: "b", PeerAddr: "x"}, time.Now())
+				peers.HandleHello(&wire.Hello{Instance: "one", Hall: "h", Boot: "b", PeerAddr: "x"}, time.Now())
 				select {
 				case <-stop:
 					return
@@ -278,19 +278,19 @@
 			{Key: hall.RackKey("h", "r2"), Value: []byte(`{"owner":"two@b","epoch":9}`)},
 		}})
 		_, second, _ := start("two", peers)
-		Eventually(second.adoptions).Should(Equal(2), "one of them is handed on again")
+		Eventually(second.adoptions).Should(Equal(2), "both, though one of them is then handed over")
 	})
 
-	It("hands no rack over to level the load before what was placed on it is sent", func() {
+	It("hands no rack over to level the load before the work placed on it is sent", func() {
 		peers := hall.NewPeers("one", "h", nil)
 		_, first, _ := start("one", peers)
 		Eventually(first.Owned).Should(HaveLen(2))
-		first.set(true)
+		first.setBusy(true)
 		stop := make(chan struct{})
 		defer close(stop)
 		go func() {
 			for {
-				peers.Heard(&wire.Hello{Instance: "two", Hall: "h", Boot: "b", PeerAddr: "x"}, time.Now())
+				peers.HandleHello(&wire.Hello{Instance: "two", Hall: "h", Boot: "b", PeerAddr: "x"}, time.Now())
 				select {
 				case <-stop:
 					return
@@ -298,28 +298,28 @@
 				}
 			}
 		}()
-		Eventually(first.openings).Should(BeNumerically(">", 0), "it is opened again")
+		Eventually(first.openings).Should(BeNumerically(">", 0), "the rack that could not be closed is opened again")
 		Expect(first.Owned()).To(HaveLen(2))
-		Consistently(first.openings, 3*time.Second).Should(Equal(1), "and left alone for some time")
-		first.set(false)
+		Consistently(first.openings, 3*time.Second).Should(Equal(1), "no other attempt before closeRetryDelay")
+		first.setBusy(false)
 		Eventually(first.Owned).Should(HaveLen(1))
 	})
 
-	// A batch was refused with "the rack was taken without the table" 13 s after the table
-	// was back, and would have been for good. Sequence: an owner is paused; the table gives
-	// no answer to its neighbour for 3 s, which takes the rack under epoch 1.1; the owner
-	// wakes, hears of the higher epoch and drops the rack. Cause: the row still named the
-	// owner, which lived, so that the neighbour never wrote its own name there. Logs:
-	// "rack taken without the table", "rack lost", no "rack taken" after it.
-	It("writes down a rack that it took without the table also while the former owner lives", func() {
+	// Guards against a rack that refuses batch jobs for good with "the rack was taken without
+	// the table", although the table is back (seen for 13 s). An owner is paused; the table
+	// does not answer its neighbour for 3 s, which takes the rack under epoch 1.1; the owner
+	// resumes, hears of the higher epoch and drops the rack. The row still named the owner,
+	// which was live, so the neighbour never wrote its own name. In the logs: "rack taken
+	// without the table", "rack lost", and no "rack taken" after it.
+	It("records in the table a rack that it took without it, also while the former owner lives", func() {
 		peers := hall.NewPeers("two", "h", nil)
 		_, first, stopFirst := start("one", hall.NewPeers("one", "h", nil))
 		Eventually(first.Owned).Should(HaveLen(2))
 		stopFirst()
-		says := func(seq uint64, racks ...*wire.Rack) {
-			peers.Heard(&wire.Hello{Instance: "one", Hall: "h", Boot: "b", PeerAddr: "x", RacksSeq: seq, Racks: racks}, time.Now())
+		sendHello := func(seq uint64, racks ...*wire.Rack) {
+			peers.HandleHello(&wire.Hello{Instance: "one", Hall: "h", Boot: "b", PeerAddr: "x", RacksSeq: seq, Racks: racks}, time.Now())
 		}
-		says(1, &wire.Rack{Rack: "r1", EpochTable: 1}, &wire.Rack{Rack: "r2", EpochTable: 1})
+		sendHello(1, &wire.Rack{Rack: "r1", EpochTable: 1}, &wire.Rack{Rack: "r2", EpochTable: 1})
 		fail := func() error { return kind.New(kind.Unavailable, "test") }
 		table.Set(func(l *standin.Local) {
 			l.Before = func(ports.Txn) error { return fail() }
@@ -331,9 +331,9 @@
 		stop := make(chan struct{})
 		DeferCleanup(func() { close(stop) })
 		go func() {
-			// The owner is back, shows itself and says that it owns nothing.
+			// The former owner is back, sends heartbeats and claims no rack.
 			for beat := 0; ; beat++ {
-				says(2)
+				sendHello(2)
 				table.Table.Commit(ports.Txn{Puts: []ports.Put{{Key: "member/h/one@b", Value: []byte(fmt.Sprintf(`{"beat":%d}`, beat))}}})
 				select {
 				case <-stop:
@@ -347,13 +347,13 @@
 		Eventually(second.Owned).Should(HaveKeyWithValue("r1", lease.Epoch{Table: 2}))
 	})
 
-	It("goes on without the table, and takes a silent peer's rack by itself", func() {
+	It("keeps its racks without the table, and takes over that of a silent peer", func() {
 		peers := hall.NewPeers("one", "h", nil)
 		other := &wire.Hello{
 			Instance: "two", Hall: "h", Boot: "b", PeerAddr: "x", RacksSeq: 1,
 			Racks: []*wire.Rack{{Rack: "r1", EpochTable: 5}},
 		}
-		peers.Heard(other, time.Now())
+		peers.HandleHello(other, time.Now())
 		_, first, _ := start("one", peers)
 		Eventually(first.Owned).Should(HaveKey("r2"))
 		fail := func() error { return kind.New(kind.Unavailable, "test") }
--- a/hall/handover.go
+++ b/hall/handover.go
@@ -14,35 +14,36 @@
 	"dewpass.org/wire"
 )
 
-// level hands on a rack that another instance should own.
-func (k *Keeper) level(ctx context.Context, target map[string]string) {
+// rebalance hands over at most one rack that is assigned to another instance. A
+// rack whose placed work cannot be sent in time is kept for now.
+func (k *Coordinator) rebalance(ctx context.Context, target map[string]string) {
 	now := clock.Now()
-	if now.Sub(k.moved) < moveEvery {
+	if now.Sub(k.lastMove) < moveInterval {
 		return
 	}
-	for _, r := range names(k.Racks.Owned()) {
+	for _, r := range sortedNames(k.Racks.Owned()) {
 		to := target[r]
 		if to == "" || to == k.Instance {
 			continue
 		}
-		k.moved = now
-		closing, cancel := context.WithTimeout(ctx, closeTime)
+		k.lastMove = now
+		closing, cancel := context.WithTimeout(ctx, closeTimeout)
 		closed := k.Racks.Close(closing, r)
 		cancel()
 		if closed {
 			k.handOver(ctx, r, to)
 		} else {
-			k.moved = clock.Now().Add(closePause)
+			k.lastMove = clock.Now().Add(closeRetryDelay)
 		}
 		k.Racks.Open(r)
 		return
 	}
 }
 
-// handOver writes a peer into the row of a rack and tells it.
-func (k *Keeper) handOver(ctx context.Context, rack, to string) {
+// handOver writes a peer as the owner into the row of a rack and notifies the peer.
+func (k *Coordinator) handOver(ctx context.Context, rack, to string) {
 	peer, ok := k.Peers.Get(to)
-	version := k.rows[rack]
+	version := k.rowVersions[rack]
 	epoch, owned := k.Racks.Owned()[rack]
 	if !ok || !owned || version == 0 {
 		return
@@ -53,12 +54,12 @@
 		Checks: []ports.Check{{Key: key, Version: version}},
 		Puts:   []ports.Put{{Key: key, Value: encodeRow(next)}},
 	}
-	ctx, cancel := context.WithTimeout(ctx, rowTimeout)
+	ctx, cancel := context.WithTimeout(ctx, tableTimeout)
 	defer cancel()
 	res, err := k.Table.Commit(ctx, txn)
 	if kind.Is(err, kind.Lost) {
-		// The row says who owns the rack; the next audit reads it.
-		k.Nudge()
+		// The commit may have succeeded; the audit reads the row and finds out.
+		k.RequestAudit()
 		return
 	}
 	if err != nil || len(res.Failed) > 0 {
@@ -73,10 +74,10 @@
 	}
 }
 
-// Leave hands all racks on, for a planned stop. Run must have ended. Racks for
-// which there is no peer keep their row; the row of this instance is removed,
-// so that whoever comes next need not wait.
-func (k *Keeper) Leave(ctx context.Context) {
+// Leave hands all racks over for a planned stop. Run must have returned. Racks
+// for which there is no peer keep their row. The member row of this instance is
+// removed, so that the next owner need not wait for its lease.
+func (k *Coordinator) Leave(ctx context.Context) {
 	k.mu.Lock()
 	k.stopping = true
 	k.mu.Unlock()
@@ -84,7 +85,7 @@
 	owned := k.Racks.Owned()
 	claims := k.Peers.Claims(k.Hall, now)
 	present := make(map[string]string)
-	all := names(owned)
+	all := sortedNames(owned)
 	for r, c := range claims {
 		present[r] = c.Owner
 		if _, mine := owned[r]; !mine {
@@ -92,14 +93,14 @@
 		}
 	}
 	target := Assign(all, k.members(now), present)
-	closing, cancel := context.WithTimeout(ctx, closeTime)
+	closing, cancel := context.WithTimeout(ctx, closeTimeout)
 	defer cancel()
-	for _, r := range names(owned) {
+	for _, r := range sortedNames(owned) {
 		if target[r] == "" {
 			continue
 		}
 		if !k.Racks.Close(closing, r) {
-			level.Warn(k.Log).Log("msg", "rack handed over before all that was placed was sent", "rack", r)
+			level.Warn(k.Log).Log("msg", "rack handed over with placed work not yet sent", "rack", r)
 		}
 		k.handOver(ctx, r, target[r])
 	}
--- a/hall/peers.go
+++ b/hall/peers.go
@@ -12,22 +12,22 @@
 )
 
 const (
-	// silence is how long a peer of the own hall may not have said hello and
-	// still count as live, and farSilence one of another hall, which says it
-	// less often.
-	silence    = 2300 * time.Millisecond
-	farSilence = 16 * time.Second
+	// localPeerTimeout and remotePeerTimeout are how long a peer counts as live
+	// after its last hello, in this hall and in other halls. Hellos between halls
+	// are less frequent.
+	localPeerTimeout  = 2300 * time.Millisecond
+	remotePeerTimeout = 16 * time.Second
 )
 
 const (
-	// forget is how long an address is tried at which nobody answers and that
-	// nobody speaks of: longer than regions lose each other.
-	forget = 2 * time.Hour
-	// tryEvery spaces the tries of an address at which nobody answers.
-	tryEvery = 2 * time.Second
+	// addrRetention is how long an address is retried when nobody answers there
+	// and no peer mentions it. It is longer than regions stay disconnected.
+	addrRetention = 2 * time.Hour
+	// addrRetryInterval is the least time between attempts at an address without a live peer.
+	addrRetryInterval = 2 * time.Second
 )
 
-// Peer is what is known of another instance.
+// Peer is what this instance knows about another one.
 type Peer struct {
 	Instance    string
 	Hall        string
@@ -37,46 +37,46 @@
 	CutOff      bool
 	TreeVersion uint64
 	Racks       []*wire.Rack
-	// RacksSeq numbers the summaries in Racks.
+	// RacksSeq is the sequence number of the summaries in Racks.
 	RacksSeq uint64
-	// SeenRacks is the number of this instance's summaries that it has.
+	// SeenRacks is the sequence number of the latest summaries of this instance that
+	// the peer has.
 	SeenRacks uint64
-	// Heard is when its last hello came, by this instance's clock.
-	Heard time.Time
-	// Members is how many live instances its hall has, as it says.
+	// LastHeard is when the last hello of the peer arrived, by this instance's clock.
+	LastHeard time.Time
+	// Members is the number of live instances in the peer's hall, as it reports.
 	Members uint32
-	// far marks a peer of another hall.
-	far bool
+	// remote is set for a peer in another hall.
+	remote bool
 }
 
-// Live reports whether p has said hello lately.
+// Live reports whether the last hello of p is recent enough.
 func (p *Peer) Live(now time.Time) bool {
-	if p.far {
-		return now.Sub(p.Heard) < farSilence
+	if p.remote {
+		return now.Sub(p.LastHeard) < remotePeerTimeout
 	}
-	return now.Sub(p.Heard) < silence
+	return now.Sub(p.LastHeard) < localPeerTimeout
 }
 
-// Peers is what an instance knows of the others. Make one with NewPeers.
+// Peers holds what an instance knows about the others. Create one with NewPeers.
 type Peers struct {
 	self string
 	hall string
 
 	mu    sync.Mutex
 	known map[string]*Peer
-	// addrs are addresses at which somebody may be, with the time until which
-	// to greet them.
+	// addrs holds the addresses of possible peers with the time until which hellos
+	// are sent to them. Those from the settings have the zero time and never expire.
 	addrs map[string]time.Time
-	// tried is when each address was last tried without a live peer there.
-	tried map[string]time.Time
+	// lastTried is when an address without a live peer was last tried.
+	lastTried map[string]time.Time
 }
 
-// NewPeers returns the peers of an instance, with the addresses that its
-// settings name.
+// NewPeers returns the peers of an instance, with the addresses from its settings.
 func NewPeers(self, hall string, first []string) *Peers {
 	p := &Peers{
 		self: self, hall: hall, known: make(map[string]*Peer),
-		addrs: make(map[string]time.Time), tried: make(map[string]time.Time),
+		addrs: make(map[string]time.Time), lastTried: make(map[string]time.Time),
 	}
 	for _, a := range first {
 		p.addrs[a] = time.Time{}
@@ -84,9 +84,9 @@
 	return p
 }
 
-// Heard takes in a hello. Racks stay as they were if the hello leaves them out
-// because they have not changed.
-func (p *Peers) Heard(h *wire.Hello, now time.Time) {
+// HandleHello records a hello of a peer. The known racks stay unchanged if the
+// hello leaves them out.
+func (p *Peers) HandleHello(h *wire.Hello, now time.Time) {
 	if h == nil || h.Instance == "" || h.Instance == p.self {
 		return
 	}
@@ -98,64 +98,65 @@
 		p.known[h.Instance] = known
 	}
 	known.Hall, known.Boot, known.Addr = h.Hall, h.Boot, h.PeerAddr
-	known.far = h.Hall != p.hall
+	known.remote = h.Hall != p.hall
 	known.Leaving, known.CutOff = h.Leaving, h.CutOff
 	known.TreeVersion = max(known.TreeVersion, h.TreeVersion)
 	known.SeenRacks, known.Members = h.SeenRacksSeq, h.Members
 	if h.RacksSeq != known.RacksSeq && !h.RacksOmitted {
 		known.Racks, known.RacksSeq = h.Racks, h.RacksSeq
 	}
-	known.Heard = now
-	p.hint(h.PeerAddr, now)
+	known.LastHeard = now
+	p.addAddr(h.PeerAddr, now)
 	for _, o := range h.Peers {
 		if o.Instance != p.self {
-			p.hint(o.Addr, now)
+			p.addAddr(o.Addr, now)
 		}
 	}
 }
 
-// Hint tells of an address at which a peer may be.
-func (p *Peers) Hint(addr string, now time.Time) {
+// AddAddr adds an address at which a peer may be reachable.
+func (p *Peers) AddAddr(addr string, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.hint(addr, now)
+	p.addAddr(addr, now)
 }
 
-func (p *Peers) hint(addr string, now time.Time) {
+func (p *Peers) addAddr(addr string, now time.Time) {
 	if until, ok := p.addrs[addr]; ok && until.IsZero() {
 		return
 	}
-	p.addrs[addr] = now.Add(forget)
+	p.addrs[addr] = now.Add(addrRetention)
 }
 
-// Greet returns the addresses to say hello to: the live peers of the own hall,
-// of every other hall the one that ranks first for this instance, and now and
-// then the addresses at which nobody has answered of late.
-func (p *Peers) Greet(now time.Time) []string {
+// HelloTargets returns the addresses to send a hello to: all live peers of this
+// hall, one peer of each other hall (the one that this instance prefers), and the
+// addresses without a live peer that are due for a retry.
+func (p *Peers) HelloTargets(now time.Time) []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	out := make(map[string]bool)
-	far := make(map[string][]*Peer)
+	remote := make(map[string][]*Peer)
 	for _, k := range p.known {
 		switch {
 		case !k.Live(now):
 		case k.Hall == p.hall:
 			out[k.Addr] = true
 		default:
-			far[k.Hall] = append(far[k.Hall], k)
+			remote[k.Hall] = append(remote[k.Hall], k)
 		}
 	}
-	for _, list := range far {
-		out[p.first(list).Addr] = true
+	for _, list := range remote {
+		out[p.preferred(list).Addr] = true
 	}
-	for _, addr := range p.silent(now, far) {
+	for _, addr := range p.dueRetries(now, remote) {
 		out[addr] = true
 	}
-	return sorted(out)
+	return sortedKeys(out)
 }
 
-// first returns the peer of another hall that ranks first for this instance.
-func (p *Peers) first(list []*Peer) *Peer {
+// preferred returns the peer of another hall with the highest weight for this
+// instance, so that instances spread over the peers.
+func (p *Peers) preferred(list []*Peer) *Peer {
 	best := list[0]
 	for _, k := range list[1:] {
 		if weight(p.self, k.Instance) > weight(p.self, best.Instance) {
@@ -165,9 +166,10 @@
 	return best
 }
 
-// silent returns the addresses that are due for another try. An address of
-// another hall is not tried while somebody of that hall is live.
-func (p *Peers) silent(now time.Time, far map[string][]*Peer) []string {
+// dueRetries returns the addresses without a live peer that are due for another
+// attempt. An address in another hall is skipped while any peer of that hall is
+// live.
+func (p *Peers) dueRetries(now time.Time, remote map[string][]*Peer) []string {
 	at := make(map[string]*Peer, len(p.known))
 	for _, k := range p.known {
 		at[k.Addr] = k
@@ -176,21 +178,21 @@
 	for addr, until := range p.addrs {
 		if !until.IsZero() && now.After(until) {
 			delete(p.addrs, addr)
-			delete(p.tried, addr)
+			delete(p.lastTried, addr)
 			continue
 		}
 		k := at[addr]
-		known := k != nil && (k.Live(now) || len(far[k.Hall]) > 0)
-		if known || now.Sub(p.tried[addr]) < tryEvery {
+		known := k != nil && (k.Live(now) || len(remote[k.Hall]) > 0)
+		if known || now.Sub(p.lastTried[addr]) < addrRetryInterval {
 			continue
 		}
-		p.tried[addr] = now
+		p.lastTried[addr] = now
 		out = append(out, addr)
 	}
 	return out
 }
 
-func sorted(set map[string]bool) []string {
+func sortedKeys(set map[string]bool) []string {
 	out := make([]string, 0, len(set))
 	for k := range set {
 		out = append(out, k)
@@ -199,7 +201,7 @@
 	return out
 }
 
-// Live returns the live peers of a hall, or of all halls for "", by name.
+// Live returns the live peers of a hall, or of all halls for "", sorted by name.
 func (p *Peers) Live(hall string, now time.Time) []Peer {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -213,7 +215,7 @@
 	return out
 }
 
-// Get returns what is known of an instance.
+// Get returns what is known about an instance.
 func (p *Peers) Get(instance string) (Peer, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -224,15 +226,15 @@
 	return *k, true
 }
 
-// Claim is a rack with its owner, as the owner itself says.
+// Claim is the ownership of a rack as its owner reports it.
 type Claim struct {
 	Owner string
 	Epoch lease.Epoch
 	Rack  *wire.Rack
 }
 
-// Claims returns what live peers of a hall own. Where two claim one rack, the
-// higher epoch counts.
+// Claims returns the racks that live peers of a hall own. Where two claim the
+// same rack, the higher epoch wins.
 func (p *Peers) Claims(hall string, now time.Time) map[string]Claim {
 	out := make(map[string]Claim)
 	for _, peer := range p.Live(hall, now) {
@@ -247,28 +249,29 @@
 	return out
 }
 
-// Halls returns the halls of which a live peer is known, by name.
+// Halls returns the sorted names of the halls with a known live peer.
 func (p *Peers) Halls(now time.Time) []string {
 	set := make(map[string]bool)
 	for _, peer := range p.Live("", now) {
 		set[peer.Hall] = true
 	}
-	return sorted(set)
+	return sortedKeys(set)
 }
 
-// Instances returns how many live instances there are in all halls, this one
-// included. Of another hall only one is greeted, and tells of the others.
+// Instances returns the number of live instances in all halls, this one
+// included. Only one instance of each other hall is greeted, and it reports how
+// many instances its hall has.
 func (p *Peers) Instances(now time.Time) int {
-	far := make(map[string]uint32)
+	remote := make(map[string]uint32)
 	n := 1
 	for _, peer := range p.Live("", now) {
 		if peer.Hall == p.hall {
 			n++
 			continue
 		}
-		far[peer.Hall] = max(far[peer.Hall], peer.Members, 1)
+		remote[peer.Hall] = max(remote[peer.Hall], peer.Members, 1)
 	}
-	for _, members := range far {
+	for _, members := range remote {
 		n += int(members)
 	}
 	return n
--- a/hall/rows.go
+++ b/hall/rows.go
@@ -15,11 +15,11 @@
 	Epoch uint64 `json:"epoch"`
 }
 
-// memberRow is the row by which an instance shows that it lives.
+// memberRow is the row that an instance rewrites as its heartbeat.
 type memberRow struct {
 	Boot string `json:"boot"`
 	Beat uint64 `json:"beat"`
-	// At is the time in seconds since 1970.
+	// At is the time of the heartbeat in seconds since 1970.
 	At int64 `json:"at"`
 }
 
@@ -33,12 +33,11 @@
 
 func memberKey(hall, instance string) string { return MemberPrefix(hall) + instance }
 
-// MemberPrefix returns the start of the keys of the rows by which the
-// instances of a hall show that they live.
+// MemberPrefix returns the prefix of the keys of the member rows of a hall.
 func MemberPrefix(hall string) string { return memberPrefix + hall + "/" }
 
-// MemberSeen returns when an instance last showed that it lives, by its own
-// clock, from the value of its row.
+// MemberSeen returns the time of the last heartbeat in the value of a member row,
+// by the clock of the instance that wrote it.
 func MemberSeen(raw []byte) (time.Time, bool) {
 	var r memberRow
 	if err := json.Unmarshal(raw, &r); err != nil || r.At == 0 {
@@ -50,12 +49,12 @@
 func encodeRow(v any) []byte {
 	raw, err := json.Marshal(v)
 	if err != nil {
-		panic(err) // A struct of strings and numbers always has a JSON form.
+		panic(err) // Structs of strings and numbers can always be marshalled.
 	}
 	return raw
 }
 
-// DecodeRack reads the row of a rack. An absent row has no owner.
+// DecodeRack decodes the row of a rack. An absent row has no owner.
 func DecodeRack(raw []byte) (RackRow, error) {
 	var r RackRow
 	if len(raw) == 0 {
--- a/hall/takeover.go
+++ b/hall/takeover.go
@@ -17,23 +17,25 @@
 	"dewpass.org/wire"
 )
 
-// watch is the row of a silent owner as first seen.
-type watch struct {
+// observedRow is the member row of an unresponsive owner: its version and when
+// this instance first saw that version.
+type observedRow struct {
 	version uint64
 	since   time.Time
 }
 
-// takeOver tries to own racks that nobody live claims: those that should be
-// this instance's, and those that were handed to it, whoever should own them by
-// now. Nobody else may take what was handed to an instance that lives.
-func (k *Keeper) takeOver(ctx context.Context, unclaimed []string, target map[string]string, racks map[string][]ports.Instance) {
+// takeOver tries to own racks that no live instance claims: those that are
+// assigned to this instance, and those whose row already names it, even if they
+// are assigned to another instance by now. While this instance lives, nobody else
+// may take a rack that was handed to it.
+func (k *Coordinator) takeOver(ctx context.Context, unclaimed []string, target map[string]string, racks map[string][]ports.Instance) {
 	if len(unclaimed) == 0 {
 		return
 	}
 	sort.Strings(unclaimed)
 	rows, err := k.rackRows(ctx, unclaimed)
 	if err != nil {
-		k.takeLocally(k.mine(unclaimed, target), racks)
+		k.takeWithoutTable(k.assignedHere(unclaimed, target), racks)
 		return
 	}
 	members, err := k.memberVersions(ctx, rows)
@@ -47,13 +49,13 @@
 		case row.owner == k.Name():
 			k.adopt(r, lease.Epoch{Table: row.epoch}, row.version, racks[r])
 		case row.owner == "" || k.lapsed(row.owner, members[row.owner]) || k.givenUp(r, row.owner):
-			k.claim(ctx, r, row, members[row.owner], racks[r])
+			k.claimRack(ctx, r, row, members[row.owner], racks[r])
 		}
 	}
 }
 
-// mine returns the racks that should be this instance's.
-func (k *Keeper) mine(racks []string, target map[string]string) []string {
+// assignedHere returns the racks that are assigned to this instance.
+func (k *Coordinator) assignedHere(racks []string, target map[string]string) []string {
 	var out []string
 	for _, r := range racks {
 		if target[r] == k.Instance {
@@ -63,9 +65,9 @@
 	return out
 }
 
-// memberVersions returns the versions of the rows of the owners; 0 for those
-// that have none.
-func (k *Keeper) memberVersions(ctx context.Context, rows map[string]rackState) (map[string]uint64, error) {
+// memberVersions returns the versions of the member rows of the owners, 0 for an
+// owner without one.
+func (k *Coordinator) memberVersions(ctx context.Context, rows map[string]versionedRackRow) (map[string]uint64, error) {
 	set := make(map[string]bool)
 	for _, row := range rows {
 		if row.owner != "" && row.owner != k.Name() {
@@ -75,7 +77,7 @@
 	if len(set) == 0 {
 		return nil, nil
 	}
-	owners := sorted(set)
+	owners := sortedKeys(set)
 	keys := make([]string, len(owners))
 	for i, o := range owners {
 		keys[i] = memberKey(k.Hall, o)
@@ -91,24 +93,25 @@
 	return out, nil
 }
 
-// lapsed reports whether the row of an owner has not changed for the length of
-// its lease. A row that is gone has lapsed: its owner took its leave.
-func (k *Keeper) lapsed(owner string, version uint64) bool {
+// lapsed reports whether the member row of an owner has not changed for the
+// length of its lease. A missing row counts as lapsed: its owner has left.
+func (k *Coordinator) lapsed(owner string, version uint64) bool {
 	now := clock.Now()
 	if version == 0 {
 		return true
 	}
-	w, ok := k.watched[owner]
+	w, ok := k.memberRows[owner]
 	if !ok || w.version != version {
-		k.watched[owner] = watch{version: version, since: now}
+		k.memberRows[owner] = observedRow{version: version, since: now}
 		return false
 	}
 	return now.Sub(w.since) > MemberLease+lease.Margin(MemberLease)
 }
 
-// claim writes this instance into the row of a rack. The check on the row of
-// the last owner makes it fail if that owner has shown itself meanwhile.
-func (k *Keeper) claim(ctx context.Context, rack string, row rackState, member uint64, workers []ports.Instance) {
+// claimRack writes this instance into the row of a rack. The check on the member
+// row of the last owner makes the commit fail if that owner has sent a heartbeat
+// meanwhile.
+func (k *Coordinator) claimRack(ctx context.Context, rack string, row versionedRackRow, member uint64, workers []ports.Instance) {
 	next := RackRow{Owner: k.Name(), Epoch: row.epoch + 1}
 	txn := ports.Txn{
 		Checks: []ports.Check{{Key: RackKey(k.Hall, rack), Version: row.version}},
@@ -118,11 +121,11 @@
 		key := memberKey(k.Hall, row.owner)
 		txn.Checks = append(txn.Checks, ports.Check{Key: key, Version: member})
 	}
-	ctx, cancel := context.WithTimeout(ctx, rowTimeout)
+	ctx, cancel := context.WithTimeout(ctx, tableTimeout)
 	defer cancel()
 	res, err := k.Table.Commit(ctx, txn)
 	if err != nil || len(res.Failed) > 0 {
-		// A lost answer shows in the row, which the next step reads.
+		// If the commit succeeded but its answer was lost, the next step finds it in the row.
 		return
 	}
 	fault.At(fault.LeaseTaken)
@@ -130,20 +133,21 @@
 	k.adopt(rack, lease.Epoch{Table: next.Epoch}, res.Version, workers)
 }
 
-func (k *Keeper) adopt(rack string, epoch lease.Epoch, version uint64, workers []ports.Instance) {
-	k.rows[rack] = version
+// adopt starts to own a rack; version is that of its row, 0 if it was not written.
+func (k *Coordinator) adopt(rack string, epoch lease.Epoch, version uint64, workers []ports.Instance) {
+	k.rowVersions[rack] = version
 	k.Racks.Adopt(rack, epoch, version, workers)
 }
 
-// takeLocally takes racks over without the table, when it has not answered for
-// some time. The workers decide: they accept a new owner only once the control
-// of the last one has lapsed.
-func (k *Keeper) takeLocally(wanted []string, racks map[string][]ports.Instance) {
+// takeWithoutTable takes racks over when the table has been unreachable for some
+// time. The workers protect the last owner: they accept a new one only once its
+// lease has expired.
+func (k *Coordinator) takeWithoutTable(wanted []string, racks map[string][]ports.Instance) {
 	if !k.CutOff(clock.Now()) {
 		return
 	}
 	for _, r := range wanted {
-		before, ok := k.last[r]
+		before, ok := k.lastClaims[r]
 		if !ok {
 			continue
 		}
@@ -152,12 +156,12 @@
 	}
 }
 
-// confirm writes down the racks that were taken without the table once it is
-// back. Until then their row still names the last owner.
-func (k *Keeper) confirm(ctx context.Context, racks map[string][]ports.Instance) {
+// recordLocalTakeovers writes the racks that were taken over without the table into
+// it once it is reachable. Until then their rows still name the last owner.
+func (k *Coordinator) recordLocalTakeovers(ctx context.Context, racks map[string][]ports.Instance) {
 	var local []string
 	for r := range k.Racks.Owned() {
-		if k.rows[r] == 0 {
+		if k.rowVersions[r] == 0 {
 			local = append(local, r)
 		}
 	}
@@ -171,11 +175,12 @@
 	k.takeOver(ctx, local, own, racks)
 }
 
-// givenUp reports whether a rack that is owned here, but not by its row, was given up by
-// the owner that the row names: that start of it is live and claims the rack no more.
-// Without this, an owner that was only paused while the table was away shows itself in
-// the table again, never lapses, and the rack takes no jobs for as long as it lives.
-func (k *Keeper) givenUp(rack, owner string) bool {
+// givenUp reports whether a rack that this instance owns was given up by the owner that its
+// row still names: that boot of the owner is live and no longer claims the rack. Without this
+// check, an owner that was only paused while the table was unreachable sends heartbeats again
+// and never lapses, so the row is never updated and the rack accepts no jobs for as long as
+// the owner lives.
+func (k *Coordinator) givenUp(rack, owner string) bool {
 	if _, owned := k.Racks.Owned()[rack]; !owned {
 		return false
 	}
