--- a/entry/doc.go
+++ b/entry/doc.go
@@ -1,10 +1,11 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package entry puts an entry instance together and runs it: the front for
-// callers, the owner of racks, the keeper that decides which, the link to
-// peers, and the loops that spread the tree and keep services at their count.
+// Package entry assembles and runs an entry instance: the HTTP front for callers,
+// the owner of racks, the coordinator that decides which racks those are, the
+// link to peers, and the loops that distribute the tree and keep services at
+// their replica counts.
 //
-// Every instance is equal. Nothing is kept on it: it can be killed at any
-// moment, and a planned stop hands its racks on first and cuts nothing that is
-// in progress.
+// All instances are equal and keep no state of their own: one can be killed at
+// any time. A planned stop first hands its racks over and aborts no work in
+// progress.
 package entry
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -34,53 +34,53 @@
 	kit      *telemetry.Kit
 	boot     string
 
-	platform *ports.Client
-	workers  *ports.Workers
-	journal  *commit.Journal
-	register *tree.Register
-	store    *tree.Store
-	peers    *hall.Peers
-	keeper   *hall.Coordinator
-	owner    *owner.Owner
-	front    *front.Front
-	dialer   *link.Dialer
-	server   *link.Server
-	http     *drain.Server
+	platform    *ports.Client
+	workers     *ports.Workers
+	journal     *commit.Journal
+	register    *tree.Register
+	store       *tree.Store
+	peers       *hall.Peers
+	coordinator *hall.Coordinator
+	owner       *owner.Owner
+	front       *front.Front
+	dialer      *link.Dialer
+	server      *link.Server
+	http        *drain.Server
 
 	leaving atomic.Bool
-	// pulling says that a tree is being fetched from a peer that greeted with it.
-	pulling atomic.Bool
-	spread  spread
-	reader  reader
+	// fetchingTree is set while a newer tree is being fetched from a peer.
+	fetchingTree atomic.Bool
+	summaries    rackSummaries
+	reader       treeReader
 }
 
 const (
 	headerTimeout = 5 * time.Second
 	idleTimeout   = 60 * time.Second
 	maxHeader     = 16 << 10
-	// leaveNotice is how long a leaving instance still takes connections, so
-	// that callers that keep theirs open are told to close it.
+	// leaveNotice is how long a leaving instance still accepts connections, so
+	// that callers with open connections are told to close them.
 	leaveNotice = time.Second
-	// lingerTime bounds the wait for callers to close their idle connections.
-	lingerTime = 4 * time.Second
-	flushTime  = 3 * time.Second
+	// idleCloseTimeout bounds the wait for callers to close their idle connections.
+	idleCloseTimeout = 4 * time.Second
+	flushTimeout     = 3 * time.Second
 )
 
-// Run runs an instance until ctx ends, and then stops it as planned.
+// Run runs an instance until ctx ends, then performs a planned stop.
 func Run(ctx context.Context, s *settings.Settings, kit *telemetry.Kit) error {
-	limitMemory(s)
+	configureMemory(s)
 	work, end := context.WithCancel(context.Background())
 	defer end()
 	e := &Entry{settings: s, kit: kit, boot: uid.New()}
 	if err := e.build(work); err != nil {
 		return err
 	}
-	lh, lp, err := e.listen()
+	callers, peers, err := e.listen()
 	if err != nil {
 		return err
 	}
-	e.http = drain.New(e.callerServer(), lh)
-	e.start(work, lp)
+	e.http = drain.New(e.callerServer(), callers)
+	e.start(work, peers)
 	level.Info(kit.Log).Log("msg", "started", "http", s.Listen.HTTP, "peer", s.Listen.Peer, "boot", e.boot)
 	<-ctx.Done()
 	e.stop()
@@ -88,6 +88,7 @@
 	return nil
 }
 
+// build creates the parts of the instance; work ends when the instance has stopped.
 func (e *Entry) build(work context.Context) error {
 	s := e.settings
 	e.platform = ports.NewClient(s.Platform.URL)
@@ -98,36 +99,36 @@
 	e.peers = hall.NewPeers(s.Instance, s.Hall, s.Peers)
 	e.dialer = &link.Dialer{}
 	e.server = &link.Server{Handler: e}
-	if err := e.secure(); err != nil {
+	if err := e.configureTLS(); err != nil {
 		return err
 	}
-	e.buildKeeper()
+	e.buildCoordinator()
 	e.journal.Away = e.cutOff
 	e.buildOwner(work)
 	e.buildFront()
 	return nil
 }
 
-func (e *Entry) buildKeeper() {
+func (e *Entry) buildCoordinator() {
 	s := e.settings
-	e.keeper = &hall.Coordinator{
+	e.coordinator = &hall.Coordinator{
 		Instance: s.Instance, Boot: e.boot, Hall: s.Hall,
 		Table: e.platform, List: e.platform, Peers: e.peers, Send: e.dialer, Log: e.kit.Log,
 	}
-	e.keeper.Init()
+	e.coordinator.Init()
 }
 
 func (e *Entry) buildOwner(work context.Context) {
 	s := e.settings
 	e.owner = owner.New(work, owner.Config{
-		Name: e.keeper.Name(), Hall: s.Hall, Connect: e.workers.At,
+		Name: e.coordinator.Name(), Hall: s.Hall, Connect: e.workers.At,
 		Table: e.platform, Objects: e.platform, Journal: e.journal, Tree: e.register,
-		LastHeartbeat: e.keeper.LastRenewal,
-		FindRack:      e.elsewhere, NotifyMoved: e.tell, OnOwnershipDoubt: e.keeper.RequestAudit,
+		LastHeartbeat: e.coordinator.LastRenewal,
+		FindRack:      e.findRackElsewhere, NotifyMoved: e.notifyMoved, OnOwnershipDoubt: e.coordinator.RequestAudit,
 		Log: e.kit.Log, Scope: e.kit.Scope, Tracer: e.kit.Tracer,
 		TaskLease: time.Duration(s.TaskLease),
 	})
-	e.keeper.Racks = e.owner
+	e.coordinator.Racks = e.owner
 }
 
 func (e *Entry) buildFront() {
@@ -135,7 +136,7 @@
 	e.front = &front.Front{
 		Instance: s.Instance, Hall: s.Hall, Owner: e.owner, Peers: e.peers, Send: e.dialer,
 		Table: e.platform, Objects: e.platform, Journal: e.journal,
-		Tree: e.register, Store: e.store, Confirm: e.confirm,
+		Tree: e.register, Store: e.store, Confirm: e.confirmTree,
 		CutOff: e.cutOff,
 		Ready:  e.ready,
 		Log:    e.kit.Log, Scope: e.kit.Scope, Tracer: e.kit.Tracer,
@@ -143,21 +144,21 @@
 	}
 }
 
-// callerServer returns the server of callers, which does not listen yet.
+// callerServer returns the HTTP server for callers, not yet listening.
 func (e *Entry) callerServer() *http.Server {
 	return &http.Server{
-		Handler:           e.closing(e.front.Handler()),
+		Handler:           e.closeWhileLeaving(e.front.Handler()),
 		ReadHeaderTimeout: headerTimeout,
 		IdleTimeout:       idleTimeout,
 		MaxHeaderBytes:    maxHeader,
 	}
 }
 
-// cutOff reports whether the table has not answered for some time.
-func (e *Entry) cutOff() bool { return e.keeper.CutOff(clock.Now()) }
+// cutOff reports whether the table has been unreachable for some time.
+func (e *Entry) cutOff() bool { return e.coordinator.CutOff(clock.Now()) }
 
-// closing tells callers to close their connections while the instance leaves.
-func (e *Entry) closing(h http.Handler) http.Handler {
+// closeWhileLeaving asks callers to close their connections once the instance is leaving.
+func (e *Entry) closeWhileLeaving(h http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if e.leaving.Load() {
 			w.Header().Set("Connection", "close")
@@ -166,7 +167,7 @@
 	})
 }
 
-func (e *Entry) secure() error {
+func (e *Entry) configureTLS() error {
 	s := e.settings
 	if s.TLS.Peer != nil {
 		pair, err := keys.Load(*s.TLS.Peer)
@@ -202,57 +203,58 @@
 }
 
 func (e *Entry) start(work context.Context, peers net.Listener) {
-	e.spread.boot = e.boot
-	e.reader.limit()
+	e.summaries.boot = e.boot
+	e.reader.setPauseLimit()
 	go e.server.Serve(peers)
 	go e.journal.Run(work)
 	go e.owner.Run(work)
-	go e.greet(work)
-	go e.read(work)
+	go e.sendHellos(work)
+	go e.followTree(work)
 	go e.front.Flush(work)
-	go e.serve(work)
+	go e.runServices(work)
 	go e.rescue(work)
 	go e.sweep(work)
-	go tuneCollector(work)
-	var keeping context.Context
-	keeping, e.reader.stopKeeper = context.WithCancel(work)
-	e.reader.keeperDone = make(chan struct{})
+	go tuneGC(work)
+	var coordinating context.Context
+	coordinating, e.reader.stopCoordinator = context.WithCancel(work)
+	e.reader.coordinatorDone = make(chan struct{})
 	go func() {
-		defer close(e.reader.keeperDone)
-		e.keeper.Run(keeping)
+		defer close(e.reader.coordinatorDone)
+		e.coordinator.Run(coordinating)
 	}()
 	go func() {
 		if err := e.http.Serve(); err != nil && err != http.ErrServerClosed && !e.leaving.Load() {
-			level.Error(e.kit.Log).Log("msg", "callers cannot be served", "err", err)
+			level.Error(e.kit.Log).Log("msg", "HTTP server failed", "err", err)
 		}
 	}()
 }
 
-// ready reports whether callers may be sent here.
+// ready reports whether this instance can serve callers.
 func (e *Entry) ready() bool {
 	return !e.leaving.Load() && e.register.Now().Version > 0 && e.owner.Ready()
 }
 
-// stop hands the racks on, lets what is in progress end, and closes.
+// stop hands the racks over, lets requests in progress finish, and closes all
+// connections.
 func (e *Entry) stop() {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Duration(e.settings.StopWithin))
 	defer cancel()
 	level.Info(e.kit.Log).Log("msg", "stopping")
 	e.leaving.Store(true)
-	e.greetOnce(ctx)
+	e.sendHelloRound(ctx)
 	e.owner.Drain()
-	e.reader.stopKeeper()
-	<-e.reader.keeperDone
-	e.keeper.Leave(ctx)
-	wait(ctx, leaveNotice)
-	patience, end := context.WithTimeout(ctx, lingerTime)
-	defer end()
-	if err := e.http.Stop(patience, ctx); err != nil {
-		level.Warn(e.kit.Log).Log("msg", "calls were cut", "err", err)
+	e.reader.stopCoordinator()
+	<-e.reader.coordinatorDone
+	e.coordinator.Leave(ctx)
+	sleep(ctx, leaveNotice)
+	idle, endIdle := context.WithTimeout(ctx, idleCloseTimeout)
+	defer endIdle()
+	if err := e.http.Stop(idle, ctx); err != nil {
+		level.Warn(e.kit.Log).Log("msg", "connections closed with requests in progress", "err", err)
 	}
 	e.front.Drain(ctx)
 	e.server.Drain(ctx)
-	flush, done := context.WithTimeout(ctx, flushTime)
+	flush, done := context.WithTimeout(ctx, flushTimeout)
 	defer done()
 	e.owner.Flush(flush)
 	e.server.Close()
@@ -260,7 +262,7 @@
 	e.workers.Close()
 }
 
-func wait(ctx context.Context, d time.Duration) {
+func sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-time.After(d):
 	case <-ctx.Done():
--- a/entry/greet.go
+++ b/entry/greet.go
@@ -20,90 +20,95 @@
 )
 
 const (
-	greetEvery = 500 * time.Millisecond
-	// nearEvery and farEvery are how many rounds pass between two hellos with
-	// nothing new in them, to a peer of the own hall and to another hall.
-	nearEvery    = 2
-	farEvery     = 10
-	greetTimeout = 700 * time.Millisecond
-	pullTimeout  = 2 * time.Second
+	helloInterval = 500 * time.Millisecond
+	// localIdleRounds and remoteIdleRounds are the numbers of rounds between two
+	// hellos without news, to a peer of this hall and to one of another hall.
+	localIdleRounds  = 2
+	remoteIdleRounds = 10
+	helloTimeout     = 700 * time.Millisecond
+	fetchTimeout     = 2 * time.Second
 )
 
-// spread keeps the number of this instance's rack summaries.
-type spread struct {
+// rackSummaries holds the summaries of this instance's racks that peers are sent,
+// under a sequence number.
+type rackSummaries struct {
 	boot string
 
 	mu    sync.Mutex
 	round uint64
 	seq   uint64
 	racks []*wire.Rack
-	// at is when the summaries were last given a new number.
-	at time.Time
-	// owned is the number at which it last changed which racks there are, under
-	// which epochs, and whether they are ready.
-	owned uint64
+	// updatedAt is when the summaries last got a new sequence number.
+	updatedAt time.Time
+	// ownershipSeq is the sequence number of the last change to the set of racks,
+	// their epochs or their readiness.
+	ownershipSeq uint64
 }
 
-// refreshEvery is how often peers are told of changes by which they would not
-// choose otherwise.
-const refreshEvery = 5 * time.Second
+// summaryInterval is how often peers are sent changes that are too small to affect
+// their choice of an owner.
+const summaryInterval = 5 * time.Second
 
-// number returns the number of the given summaries: a new one if they changed
-// by more than peers choose by, or at all and some time ago.
-func (s *spread) number(racks []*wire.Rack, now time.Time) uint64 {
+// update returns the sequence number of the given summaries. It is a new one if
+// they changed enough to affect the choices of peers, or if they changed at all
+// and the last number is older than summaryInterval.
+func (s *rackSummaries) update(racks []*wire.Rack, now time.Time) uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.seq > 0 && alike(s.racks, racks) && now.Sub(s.at) < refreshEvery {
+	if s.seq > 0 && similarSummaries(s.racks, racks) && now.Sub(s.updatedAt) < summaryInterval {
 		return s.seq
 	}
-	if s.seq == 0 || !same(s.racks, racks) {
+	if s.seq == 0 || !equalSummaries(s.racks, racks) {
 		s.seq++
-		if !pairwise(s.racks, racks, sameOwner) {
-			s.owned = s.seq
+		if !matchRacks(s.racks, racks, sameOwner) {
+			s.ownershipSeq = s.seq
 		}
-		s.racks, s.at = racks, now
+		s.racks, s.updatedAt = racks, now
 	}
 	return s.seq
 }
 
-// ownedAt returns the number of the summaries that peers of other halls must
-// have, lest they send work to a rack that has another owner by now.
-func (s *spread) ownedAt() uint64 {
+// lastOwnershipSeq returns the sequence number that peers of other halls must have
+// seen: with an older one they may send work to a rack that has another owner by
+// now.
+func (s *rackSummaries) lastOwnershipSeq() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.owned
+	return s.ownershipSeq
 }
 
+// sameOwner reports whether two summaries of a rack have the same epoch and readiness.
 func sameOwner(a, b *wire.Rack) bool {
 	return a.EpochTable == b.EpochTable && a.EpochLocal == b.EpochLocal && a.Ready == b.Ready
 }
 
-// last returns the summaries that peers were last told.
-func (s *spread) last() []*wire.Rack {
+// current returns the summaries under the latest sequence number.
+func (s *rackSummaries) current() []*wire.Rack {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.racks
 }
 
-// next counts a round of hellos.
-func (s *spread) next() uint64 {
+// nextRound returns the number of a new round of hellos.
+func (s *rackSummaries) nextRound() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.round++
 	return s.round
 }
 
-// same reports whether two lists of summaries are the same, and alike whether
-// peers that have the one choose as well as with the other.
-func same(a, b []*wire.Rack) bool {
-	return pairwise(a, b, func(a, b *wire.Rack) bool { return proto.Equal(a, b) })
+// equalSummaries reports whether two lists of summaries are equal.
+func equalSummaries(a, b []*wire.Rack) bool {
+	return matchRacks(a, b, func(a, b *wire.Rack) bool { return proto.Equal(a, b) })
 }
 
-func alike(a, b []*wire.Rack) bool { return pairwise(a, b, alikeRack) }
+// similarSummaries reports whether two lists of summaries differ so little that
+// peers choose equally well by either.
+func similarSummaries(a, b []*wire.Rack) bool { return matchRacks(a, b, similarRack) }
 
-// pairwise reports whether two lists are of the same racks and f holds for
-// each.
-func pairwise(a, b []*wire.Rack, f func(a, b *wire.Rack) bool) bool {
+// matchRacks reports whether two lists have the same racks and f holds for each
+// pair.
+func matchRacks(a, b []*wire.Rack, f func(a, b *wire.Rack) bool) bool {
 	if len(a) != len(b) {
 		return false
 	}
@@ -119,38 +124,40 @@
 	return true
 }
 
-// newsPart is the part of a rack's capacity, as one in this many, by which its
-// room may change before peers are told. An owner that turns out to be full
-// says so, and the next one is asked.
-const newsPart = 8
+// roomChangeDivisor sets how much the room of a rack may change before peers are
+// sent it: 1/8 of the rack's capacity. Summaries may lag since an owner without
+// room refuses the work and the next owner is tried.
+const roomChangeDivisor = 8
 
-func alikeRack(a, b *wire.Rack) bool {
+// similarRack is similarSummaries for one rack.
+func similarRack(a, b *wire.Rack) bool {
 	plain := a.EpochTable == b.EpochTable && a.EpochLocal == b.EpochLocal && a.Ready == b.Ready &&
 		a.Workers == b.Workers && a.Attached == b.Attached && a.WaitMs == b.WaitMs &&
 		(a.Queued == 0) == (b.Queued == 0)
 	return plain && slices.Equal(a.Capacity, b.Capacity) &&
-		alikeRoom(a.Free, b.Free, b.Capacity) && alikeRoom(a.Hole, b.Hole, b.Capacity)
+		similarRoom(a.Free, b.Free, b.Capacity) && similarRoom(a.Hole, b.Hole, b.Capacity)
 }
 
-// alikeRoom reports whether room changed by little, and not from or to none.
-func alikeRoom(a, b, capacity []int64) bool {
+// similarRoom reports whether room changed by little and neither became nor ceased
+// to be zero.
+func similarRoom(a, b, capacity []int64) bool {
 	if len(a) != len(b) || len(b) != len(capacity) {
 		return false
 	}
 	for i := range b {
-		if (a[i] > 0) != (b[i] > 0) || max(a[i]-b[i], b[i]-a[i])*newsPart > capacity[i] {
+		if (a[i] > 0) != (b[i] > 0) || max(a[i]-b[i], b[i]-a[i])*roomChangeDivisor > capacity[i] {
 			return false
 		}
 	}
 	return true
 }
 
-// greet says hello to peers again and again until ctx ends.
-func (e *Entry) greet(ctx context.Context) {
-	t := time.NewTicker(greetEvery)
+// sendHellos sends hellos to peers periodically until ctx ends.
+func (e *Entry) sendHellos(ctx context.Context) {
+	t := time.NewTicker(helloInterval)
 	defer t.Stop()
 	for {
-		e.greetOnce(ctx)
+		e.sendHelloRound(ctx)
 		select {
 		case <-t.C:
 		case <-ctx.Done():
@@ -159,78 +166,80 @@
 	}
 }
 
-// greetOnce says hello to every peer that is to be greeted, and does not wait
-// for those that are slow.
-func (e *Entry) greetOnce(ctx context.Context) {
+// sendHelloRound sends a hello to every target with news or whose hello is due. It
+// does not wait for replies.
+func (e *Entry) sendHelloRound(ctx context.Context) {
 	racks := e.owner.Summary()
-	seq := e.spread.number(racks, clock.Now())
-	round := e.spread.next()
+	seq := e.summaries.update(racks, clock.Now())
+	round := e.summaries.nextRound()
 	version := e.register.Now().Version
-	seen, owned := e.seenBy(), e.spread.ownedAt()
+	views, ownershipSeq := e.peerViews(), e.summaries.lastOwnershipSeq()
 	for _, addr := range e.peers.HelloTargets(clock.Now()) {
 		if addr == e.settings.Listen.Peer {
 			continue
 		}
-		view, live := seen[addr]
-		near := view.hall == e.settings.Hall
-		news := near && view.seen != seq || view.seen < owned || view.version < version || e.leaving.Load()
-		if live && !news && !e.due(view, round) {
+		view, live := views[addr]
+		local := view.hall == e.settings.Hall
+		news := local && view.seenSeq != seq || view.seenSeq < ownershipSeq || view.treeVersion < version || e.leaving.Load()
+		if live && !news && !e.helloDue(view, round) {
 			continue
 		}
-		go e.greetPeer(ctx, addr, e.hello(racks, seq, view))
+		go e.sendHello(ctx, addr, e.newHello(racks, seq, view))
 	}
 }
 
-// due reports whether a live peer to whom there is nothing new to say gets a
-// hello in this round. Of two peers of a hall one says hello, and the answer
-// serves the other.
-func (e *Entry) due(v peerView, round uint64) bool {
+// helloDue reports whether a live peer without news gets a hello in this round. Of
+// two peers in a hall only one sends hellos; the reply carries the other's state.
+func (e *Entry) helloDue(v peerView, round uint64) bool {
 	if v.hall != e.settings.Hall {
-		return round%farEvery == 0
+		return round%remoteIdleRounds == 0
 	}
-	return round%nearEvery == 0 && e.settings.Instance < v.instance
+	return round%localIdleRounds == 0 && e.settings.Instance < v.instance
 }
 
-// peerView is what a peer has of this instance, and this one of it.
+// peerView holds what a peer has received from this instance and this instance
+// from it.
 type peerView struct {
 	instance, hall string
-	seen           uint64
-	racks          uint64
-	version        uint64
+	seenSeq        uint64
+	racksSeq       uint64
+	treeVersion    uint64
 }
 
-func (e *Entry) seenBy() map[string]peerView {
+// peerViews returns the views of the live peers by address.
+func (e *Entry) peerViews() map[string]peerView {
 	out := make(map[string]peerView)
 	for _, p := range e.peers.Live("", clock.Now()) {
 		out[p.Addr] = peerView{
 			instance: p.Instance, hall: p.Hall,
-			seen: p.SeenRacks, racks: p.RacksSeq, version: p.TreeVersion,
+			seenSeq: p.SeenRacks, racksSeq: p.RacksSeq, treeVersion: p.TreeVersion,
 		}
 	}
 	return out
 }
 
-func (e *Entry) greetPeer(ctx context.Context, addr string, h *wire.Hello) {
-	ctx, cancel := context.WithTimeout(ctx, greetTimeout)
+// sendHello sends a hello to a peer and processes the reply.
+func (e *Entry) sendHello(ctx context.Context, addr string, h *wire.Hello) {
+	ctx, cancel := context.WithTimeout(ctx, helloTimeout)
 	defer cancel()
 	reply, err := e.dialer.Do(ctx, addr, &wire.Request{Body: &wire.Request_Hello{Hello: h}})
 	if err != nil {
 		return
 	}
-	e.heard(reply.GetHello())
+	e.receiveHello(reply.GetHello())
 }
 
-// hello makes a hello for a peer. Racks that it has already are left out.
-func (e *Entry) hello(racks []*wire.Rack, seq uint64, view peerView) *wire.Hello {
+// newHello returns a hello for a peer. Racks that the peer has already are left out.
+func (e *Entry) newHello(racks []*wire.Rack, seq uint64, view peerView) *wire.Hello {
 	h := &wire.Hello{
 		Instance: e.settings.Instance, Hall: e.settings.Hall, Boot: e.boot,
 		PeerAddr: e.settings.Listen.Peer, Leaving: e.leaving.Load(),
-		TreeVersion: e.register.Now().Version, RacksSeq: seq, SeenRacksSeq: view.racks,
+		TreeVersion: e.register.Now().Version, RacksSeq: seq, SeenRacksSeq: view.racksSeq,
 		LeavingWorkers: e.owner.LeavingWorkers(), Refusals: e.front.Refusals(),
 		CutOff:  e.cutOff(),
 		Members: uint32(len(e.peers.Live(e.settings.Hall, clock.Now())) + 1),
 	}
-	if view.seen == seq {
+	if view.seenSeq == seq {
 		h.RacksOmitted = true
 	} else {
 		h.Racks = racks
@@ -238,8 +247,8 @@
 	return h
 }
 
-// heard takes in a hello.
-func (e *Entry) heard(h *wire.Hello) {
+// receiveHello processes a hello of a peer.
+func (e *Entry) receiveHello(h *wire.Hello) {
 	if h == nil {
 		return
 	}
@@ -250,17 +259,17 @@
 	}
 	e.front.HeardRefusals(h.Refusals)
 	if h.TreeVersion > e.register.Now().Version {
-		go e.pullNewer(h.PeerAddr)
+		go e.fetchNewerTree(h.PeerAddr)
 	}
-	if !known && len(e.keeper.Directory()) == 0 {
-		go e.askDirectory(h.PeerAddr)
+	if !known && len(e.coordinator.Directory()) == 0 {
+		go e.fetchDirectory(h.PeerAddr)
 	}
 }
 
-// askDirectory learns the list of instances from a peer: a new instance of a
-// hall that is cut off finds its workers in this way.
-func (e *Entry) askDirectory(addr string) {
-	ctx, cancel := context.WithTimeout(context.Background(), pullTimeout)
+// fetchDirectory gets the list of instances from a peer. A new instance of a hall
+// that is cut off finds its workers in this way.
+func (e *Entry) fetchDirectory(addr string) {
+	ctx, cancel := context.WithTimeout(context.Background(), fetchTimeout)
 	defer cancel()
 	body := &wire.Request_Directory{Directory: &wire.DirectoryQuery{}}
 	reply, err := e.dialer.Do(ctx, addr, &wire.Request{Body: body})
@@ -269,7 +278,7 @@
 	}
 	var list []ports.Instance
 	if err := json.Unmarshal(reply.GetDirectory().GetInstances(), &list); err == nil {
-		e.keeper.Offer(list)
+		e.coordinator.Offer(list)
 	}
 }
 
@@ -297,26 +306,26 @@
 	case *wire.Request_Tree:
 		return e.handleTree(b.Tree)
 	case *wire.Request_Handover:
-		e.keeper.RequestAudit()
+		e.coordinator.RequestAudit()
 		return &wire.Reply{Body: &wire.Reply_Handover{Handover: &wire.HandoverReply{}}}, nil
 	case *wire.Request_Status:
 		raw, err := json.Marshal(e.front.HallStatus())
 		return &wire.Reply{Body: &wire.Reply_Status{Status: &wire.Status{Status: raw}}}, err
 	case *wire.Request_Directory:
-		raw, err := json.Marshal(e.keeper.Directory())
+		raw, err := json.Marshal(e.coordinator.Directory())
 		return &wire.Reply{Body: &wire.Reply_Directory{Directory: &wire.Directory{Instances: raw}}}, err
 	}
-	return nil, kind.New(kind.BadRequest, "a message of a newer version")
+	return nil, kind.New(kind.BadRequest, "unknown request type, possibly of a newer version")
 }
 
 func (e *Entry) handleHello(h *wire.Hello) *wire.Reply {
-	e.heard(h)
+	e.receiveHello(h)
 	racks := e.owner.Summary()
-	view := peerView{seen: h.SeenRacksSeq}
+	view := peerView{seenSeq: h.SeenRacksSeq}
 	if p, ok := e.peers.Get(h.Instance); ok {
-		view.racks = p.RacksSeq
+		view.racksSeq = p.RacksSeq
 	}
-	mine := e.hello(racks, e.spread.number(racks, clock.Now()), view)
+	mine := e.newHello(racks, e.summaries.update(racks, clock.Now()), view)
 	return &wire.Reply{Body: &wire.Reply_Hello{Hello: mine}}
 }
 
--- a/entry/memory.go
+++ b/entry/memory.go
@@ -11,50 +11,50 @@
 	"dewpass.org/settings"
 )
 
-// The collector's target, in percent of what is live. An instance with little
-// to do has plenty of processor time and is asked to be small. One that is busy
-// would collect many times a second at that target, and each time hold up the
-// calls of that moment. docs/MEASUREMENTS.md has lookups before and after.
+// GC target percentages (GOGC). An idle instance has processor time to spare, so
+// it keeps its heap small. At that target a busy instance would collect many
+// times a second, and each collection delays the calls in progress.
+// docs/MEASUREMENTS.md has latencies of lookups before and after.
 const (
 	idlePercent = 40
 	busyPercent = 400
 )
 
 const (
-	tuneEvery = time.Second
-	// busyCycles is how many collections in a tuneEvery make an instance busy.
+	tuneInterval = time.Second
+	// busyCycles is the number of collections per tuneInterval that makes an instance busy.
 	busyCycles = 4
-	// calmAfter is how many times in a row there must have been at most one
-	// before a busy instance counts as idle again.
-	calmAfter = 10
+	// idleAfter is the number of consecutive intervals with at most one collection
+	// after which a busy instance counts as idle again.
+	idleAfter = 10
 )
 
-// limitMemory sets a limit only if the settings do: one below what is live
-// would make the runtime collect without end.
-func limitMemory(s *settings.Settings) {
+// configureMemory sets a memory limit only if the settings have one: a limit below
+// the live heap would make the runtime collect continuously.
+func configureMemory(s *settings.Settings) {
 	debug.SetGCPercent(idlePercent)
 	if s.MemoryLimitMiB > 0 {
 		debug.SetMemoryLimit(s.MemoryLimitMiB << 20)
 	}
 }
 
-// collector follows how busy the collector is. Its zero value is idle.
-type collector struct {
-	busy bool
-	calm int
+// gcTuner chooses the GC target by the rate of collections. Its zero value is idle.
+type gcTuner struct {
+	busy          bool
+	idleIntervals int
 }
 
-// percent returns the target after a span with some collections.
-func (c *collector) percent(cycles uint64) int {
+// gcPercent returns the target after an interval with a number of collections.
+func (c *gcTuner) gcPercent(cycles uint64) int {
 	switch {
 	case cycles >= busyCycles:
-		c.busy, c.calm = true, 0
+		c.busy, c.idleIntervals = true, 0
 	case cycles > 1:
-		c.calm = 0
+		c.idleIntervals = 0
 	default:
-		c.calm++
+		c.idleIntervals++
 	}
-	if c.calm >= calmAfter {
+	if c.idleIntervals >= idleAfter {
 		c.busy = false
 	}
 	if c.busy {
@@ -65,15 +65,14 @@
 
 const cyclesMetric = "/gc/cycles/total:gc-cycles"
 
-// tuneCollector sets the collector's target by what there is to do until ctx
-// ends.
-func tuneCollector(ctx context.Context) {
-	t := time.NewTicker(tuneEvery)
+// tuneGC adjusts the GC target to the rate of collections until ctx ends.
+func tuneGC(ctx context.Context) {
+	t := time.NewTicker(tuneInterval)
 	defer t.Stop()
 	sample := []metrics.Sample{{Name: cyclesMetric}}
 	metrics.Read(sample)
 	before, now := sample[0].Value.Uint64(), idlePercent
-	var c collector
+	var c gcTuner
 	for {
 		select {
 		case <-t.C:
@@ -82,7 +81,7 @@
 		}
 		metrics.Read(sample)
 		cycles := sample[0].Value.Uint64()
-		if want := c.percent(cycles - before); want != now {
+		if want := c.gcPercent(cycles - before); want != now {
 			debug.SetGCPercent(want)
 			now = want
 		}
--- a/entry/read.go
+++ b/entry/read.go
@@ -18,72 +18,75 @@
 )
 
 const (
-	readEvery = time.Second
-	// stepIn is how long the version may not have been confirmed before an
-	// instance that is not the reader of its hall asks the table itself.
-	stepIn         = 2 * time.Second
+	readInterval = time.Second
+	// staleAfter is the age of the last confirmation of the tree's version at which
+	// an instance that is not the reader of its hall asks the table itself.
+	staleAfter     = 2 * time.Second
 	readTimeout    = 2 * time.Second
 	confirmTimeout = time.Second
 	pauseLimit     = 750 * time.Millisecond
 	readerRole     = "tree-reader"
 )
 
-// reader follows the version of the tree.
-type reader struct {
-	mu        sync.Mutex
-	guard     lease.PauseDetector
-	confirmed time.Time
-	// doubt is set after a pause, until the version is confirmed.
-	doubt bool
+// treeReader tracks whether the version of the tree in force is confirmed.
+type treeReader struct {
+	mu         sync.Mutex
+	pauseGuard lease.PauseDetector
+	confirmed  time.Time
+	// needsConfirm is set after a pause of the process, until the version is confirmed.
+	needsConfirm bool
 
-	stopKeeper context.CancelFunc
-	keeperDone chan struct{}
+	stopCoordinator context.CancelFunc
+	coordinatorDone chan struct{}
 }
 
-func (r *reader) limit() { r.guard.Limit = pauseLimit }
+func (r *treeReader) setPauseLimit() { r.pauseGuard.Limit = pauseLimit }
 
-// tick notes a pause.
-func (r *reader) tick(now time.Time) {
+// checkPause records a pause of the process.
+func (r *treeReader) checkPause(now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.guard.Tick(now) {
-		r.doubt = true
+	if r.pauseGuard.Tick(now) {
+		r.needsConfirm = true
 	}
 }
 
-// doubtful reports whether the version must be confirmed before a decision.
-func (r *reader) doubtful(now time.Time) bool {
+// confirmNeeded reports whether the version must be confirmed before a decision is
+// made by it.
+func (r *treeReader) confirmNeeded(now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.guard.Paused(now) {
-		r.doubt = true
+	if r.pauseGuard.Paused(now) {
+		r.needsConfirm = true
 	}
-	return r.doubt
+	return r.needsConfirm
 }
 
-func (r *reader) confirm(now time.Time) {
+// setConfirmed records that the version was current at the given time.
+func (r *treeReader) setConfirmed(now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.confirmed = now
-	r.doubt = false
+	r.needsConfirm = false
 }
 
-func (r *reader) stale(now time.Time) bool {
+// stale reports whether the version was not confirmed for staleAfter.
+func (r *treeReader) stale(now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.doubt || now.Sub(r.confirmed) > stepIn
+	return r.needsConfirm || now.Sub(r.confirmed) > staleAfter
 }
 
-// read follows the tree until ctx ends. One instance of the hall asks the
-// table; the others hear of a new version in its hellos.
-func (e *Entry) read(ctx context.Context) {
+// followTree keeps the tree current until ctx ends. One instance of the hall polls
+// the table; the others learn of a new version from its hellos.
+func (e *Entry) followTree(ctx context.Context) {
 	go e.watchPauses(ctx)
-	t := time.NewTicker(readEvery)
+	t := time.NewTicker(readInterval)
 	defer t.Stop()
 	for {
 		now := clock.Now()
 		if e.isReader(now) || e.reader.stale(now) {
-			e.readTable(ctx)
+			e.readTree(ctx)
 		}
 		select {
 		case <-t.C:
@@ -93,21 +96,23 @@
 	}
 }
 
-const pauseTick = 100 * time.Millisecond
+const pauseCheckInterval = 100 * time.Millisecond
 
+// watchPauses detects pauses of the process until ctx ends.
 func (e *Entry) watchPauses(ctx context.Context) {
-	t := time.NewTicker(pauseTick)
+	t := time.NewTicker(pauseCheckInterval)
 	defer t.Stop()
 	for {
 		select {
 		case <-t.C:
-			e.reader.tick(clock.Now())
+			e.reader.checkPause(clock.Now())
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
+// isReader reports whether this instance polls the table for its hall.
 func (e *Entry) isReader(now time.Time) bool {
 	members := []string{e.settings.Instance}
 	for _, p := range e.peers.Live(e.settings.Hall, now) {
@@ -118,8 +123,9 @@
 	return hall.Rank(readerRole, members)[0] == e.settings.Instance
 }
 
-// readTable asks the table for the version and installs a higher one.
-func (e *Entry) readTable(ctx context.Context) bool {
+// readTree asks the table for the version of the tree and installs a newer tree. It
+// returns false if the table cannot be read.
+func (e *Entry) readTree(ctx context.Context) bool {
 	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
 	sent := clock.Now()
@@ -132,13 +138,13 @@
 		if err != nil {
 			return false
 		}
-		e.install(head)
+		e.installTree(head)
 	}
-	e.reader.confirm(sent)
+	e.reader.setConfirmed(sent)
 	return true
 }
 
-func (e *Entry) install(head tree.Head) {
+func (e *Entry) installTree(head tree.Head) {
 	installed, err := e.register.InstallHead(head)
 	if err != nil {
 		level.Error(e.kit.Log).Log("msg", "tree not installed", "version", head.Version, "err", err)
@@ -150,20 +156,21 @@
 	}
 }
 
-// pullNewer fetches the tree of a peer that has greeted with a higher version, unless one
-// is being fetched: a tree for each peer that has it would fill a thin link, and none
-// would arrive in time.
-func (e *Entry) pullNewer(addr string) {
-	if !e.pulling.CompareAndSwap(false, true) {
+// fetchNewerTree fetches the tree from a peer that announced a newer version, unless a fetch
+// is in progress: with a fetch per announcing peer, a slow link would be saturated and none
+// would finish in time.
+func (e *Entry) fetchNewerTree(addr string) {
+	if !e.fetchingTree.CompareAndSwap(false, true) {
 		return
 	}
-	defer e.pulling.Store(false)
-	e.pull(addr)
+	defer e.fetchingTree.Store(false)
+	e.fetchTree(addr)
 }
 
-// pull fetches the tree of a peer that has a higher version.
-func (e *Entry) pull(addr string) bool {
-	ctx, cancel := context.WithTimeout(context.Background(), pullTimeout)
+// fetchTree gets the tree from a peer and installs it if it is newer. It returns
+// false if the peer cannot be reached.
+func (e *Entry) fetchTree(addr string) bool {
+	ctx, cancel := context.WithTimeout(context.Background(), fetchTimeout)
 	defer cancel()
 	fault.At(fault.EditSpread)
 	body := &wire.Request_Tree{Tree: &wire.TreeQuery{Above: e.register.Now().Version}}
@@ -173,28 +180,28 @@
 	}
 	t := reply.GetTree()
 	if len(t.GetDoc()) > 0 {
-		e.install(tree.Head{Version: t.Version, Doc: t.Doc})
+		e.installTree(tree.Head{Version: t.Version, Doc: t.Doc})
 	}
 	return true
 }
 
-// confirm makes sure, after a pause of this process, that the tree in force is
-// the newest that the table, or else a peer, knows of. When nobody can be
-// asked, the instance is cut off and goes on with what it has.
-func (e *Entry) confirm(ctx context.Context) {
-	if !e.reader.doubtful(clock.Now()) {
+// confirmTree makes sure, after a pause of this process, that the tree in force is
+// the newest known to the table or, if that is unreachable, to a peer. If neither
+// answers, the instance is cut off and goes on with the tree it has.
+func (e *Entry) confirmTree(ctx context.Context) {
+	if !e.reader.confirmNeeded(clock.Now()) {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, confirmTimeout)
 	defer cancel()
-	if e.readTable(ctx) {
+	if e.readTree(ctx) {
 		return
 	}
 	now := clock.Now()
 	for _, p := range e.peers.Live("", now) {
-		if e.pull(p.Addr) {
+		if e.fetchTree(p.Addr) {
 			break
 		}
 	}
-	e.reader.confirm(now)
+	e.reader.setConfirmed(now)
 }
--- a/entry/read_test.go
+++ b/entry/read_test.go
@@ -17,7 +17,7 @@
 	"dewpass.org/wire"
 )
 
-// slowPeer takes its time for each tree, and counts those who ask.
+// slowPeer delays each reply with a tree and counts the requests.
 type slowPeer struct{ asked atomic.Int32 }
 
 func (p *slowPeer) Handle(context.Context, *wire.Request) *wire.Reply {
@@ -26,8 +26,8 @@
 	return &wire.Reply{Body: &wire.Reply_Tree{Tree: &wire.Tree{}}}
 }
 
-var _ = ginkgo.Describe("a newer tree of which many peers tell", func() {
-	ginkgo.It("is fetched once at a time", func() {
+var _ = ginkgo.Describe("a newer tree that many peers announce", func() {
+	ginkgo.It("is fetched from one peer at a time", func() {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
 		peer := &slowPeer{}
@@ -38,11 +38,11 @@
 		ginkgo.DeferCleanup(e.dialer.Close)
 		var all sync.WaitGroup
 		for range 10 {
-			all.Go(func() { e.pullNewer(l.Addr().String()) })
+			all.Go(func() { e.fetchNewerTree(l.Addr().String()) })
 		}
 		all.Wait()
 		Expect(peer.asked.Load()).To(BeEquivalentTo(1))
-		e.pullNewer(l.Addr().String())
+		e.fetchNewerTree(l.Addr().String())
 		Expect(peer.asked.Load()).To(BeEquivalentTo(2))
 	})
 })
--- a/entry/rescue.go
+++ b/entry/rescue.go
@@ -18,22 +18,23 @@
 )
 
 const (
-	rescueRole  = "rescue"
-	rescueEvery = 2 * time.Second
-	rescuePage  = 200
+	rescueRole     = "rescue"
+	rescueInterval = 2 * time.Second
+	scanPageSize   = 200
 )
 
-// absence is a hall whose instances have not shown themselves since.
+// absence records when the member rows of a hall were last seen to change.
 type absence struct {
 	rows  map[string]uint64
 	since time.Time
 }
 
-// rescue moves the jobs of halls that are lost, or gone for as long as their
-// workload's rule says. One instance of each hall does it; where two halls try,
-// the check on the job's row lets one of them.
+// rescue moves the jobs of halls that are declared lost, or that have been absent
+// for as long as the rule of the job's workload says. One instance of each hall
+// does it. If several halls try, the version check on the job's row lets only one
+// succeed.
 func (e *Entry) rescue(ctx context.Context) {
-	t := time.NewTicker(rescueEvery)
+	t := time.NewTicker(rescueInterval)
 	defer t.Stop()
 	absences := make(map[string]*absence)
 	for {
@@ -43,13 +44,13 @@
 			return
 		}
 		now := clock.Now()
-		if !e.ready() || e.keeper.CutOff(now) || !e.leadsOwners(rescueRole, now) {
+		if !e.ready() || e.coordinator.CutOff(now) || !e.isLeaderOfOwners(rescueRole, now) {
 			clear(absences)
 			continue
 		}
 		for h, racks := range e.otherHalls() {
 			if err := e.rescueHall(ctx, h, racks, absences); err != nil {
-				level.Debug(e.kit.Log).Log("msg", "hall not looked after", "of", h, "err", err)
+				level.Debug(e.kit.Log).Log("msg", "jobs of another hall not checked", "of", h, "err", err)
 			}
 		}
 	}
@@ -58,7 +59,7 @@
 // otherHalls returns the racks of every other hall, as listed.
 func (e *Entry) otherHalls() map[string]map[string]bool {
 	out := make(map[string]map[string]bool)
-	for _, in := range e.keeper.Directory() {
+	for _, in := range e.coordinator.Directory() {
 		if in.Role != ports.RoleWorker || in.Hall == e.settings.Hall {
 			continue
 		}
@@ -70,16 +71,16 @@
 	return out
 }
 
+// rescueHall moves the jobs of a hall that may be moved.
 func (e *Entry) rescueHall(ctx context.Context, h string, racks map[string]bool, absences map[string]*absence) error {
 	c := e.register.Now()
 	lost := c.Lost[h]
 	if len(e.peers.Live(h, clock.Now())) > 0 && !lost {
-		// Somebody there says hello: the hall is not cut off from this one, and
-		// looks after itself.
+		// A peer there sends hellos: the hall is connected and manages its own jobs.
 		delete(absences, h)
 		return nil
 	}
-	gone, err := e.absent(ctx, h, absences)
+	gone, err := e.absentFor(ctx, h, absences)
 	if err != nil {
 		return err
 	}
@@ -91,11 +92,11 @@
 	return nil
 }
 
-// absent returns how long no instance of a hall has shown itself in the table,
-// by this instance's clock.
-func (e *Entry) absent(ctx context.Context, h string, absences map[string]*absence) (time.Duration, error) {
+// absentFor returns how long no instance of a hall has written its member row, by
+// this instance's clock.
+func (e *Entry) absentFor(ctx context.Context, h string, absences map[string]*absence) (time.Duration, error) {
 	now := clock.Now()
-	rows, err := e.platform.Scan(ctx, hall.MemberPrefix(h), "", rescuePage)
+	rows, err := e.platform.Scan(ctx, hall.MemberPrefix(h), "", scanPageSize)
 	if err != nil {
 		return 0, err
 	}
@@ -111,7 +112,7 @@
 	return now.Sub(a.since), nil
 }
 
-// changed reports whether a row is new or was written again.
+// changed reports whether a row is new or has a new version.
 func changed(before, now map[string]uint64) bool {
 	for key, version := range now {
 		if before[key] != version {
@@ -121,8 +122,9 @@
 	return false
 }
 
+// rescueRack moves the unfinished jobs of a rack that may be moved.
 func (e *Entry) rescueRack(ctx context.Context, c *tree.Compiled, h, rack string, gone time.Duration, lost bool) error {
-	index, err := e.platform.Scan(ctx, job.IndexPrefix(rack), "", rescuePage)
+	index, err := e.platform.Scan(ctx, job.IndexPrefix(rack), "", scanPageSize)
 	if err != nil || len(index) == 0 {
 		return err
 	}
@@ -143,22 +145,23 @@
 		if w == nil || !lost && !mayMove(w, gone, time.Duration(e.settings.TaskLease)) {
 			continue
 		}
-		if err := e.move(ctx, j, row.Version, w); err != nil {
+		if err := e.moveJob(ctx, j, row.Version, w); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// mayMove reports whether a job's own hall has surely stopped it: it stops what
-// may move before its time is up, and its workers stop what nobody renews.
+// mayMove reports whether the job's own hall has certainly stopped it by now. A
+// hall that is cut off stops its movable jobs before MoveAfter is over, and workers
+// stop tasks whose lease is not renewed.
 func mayMove(w *tree.Workload, gone, taskLease time.Duration) bool {
 	return w.CutOff == tree.Move && gone > w.MoveAfter+lease.Margin(w.MoveAfter)+2*taskLease
 }
 
-// move gives a job to a rack of this hall. Work that must not be repeated and
-// that may have been sent is settled as unknown instead.
-func (e *Entry) move(ctx context.Context, j job.Job, version uint64, w *tree.Workload) error {
+// moveJob moves a job to a rack of this hall. A job that must not be repeated and
+// may already have been sent to a worker is set to unknown instead.
+func (e *Entry) moveJob(ctx context.Context, j job.Job, version uint64, w *tree.Workload) error {
 	old := j
 	if j.Repeat == ports.RepeatNever && j.State != job.Queued {
 		if j.State == job.Unknown {
@@ -183,6 +186,8 @@
 	return nil
 }
 
+// moveChange returns the change that writes the moved job and its entry in the
+// index of its rack.
 func moveChange(old, j job.Job, version uint64) commit.Change {
 	c := commit.Change{
 		Checks: []ports.Check{{Key: job.RowKey(j.ID), Version: version}},
--- a/entry/services.go
+++ b/entry/services.go
@@ -20,21 +20,21 @@
 )
 
 const (
-	servicesRole  = "services"
-	servicesEvery = 2 * time.Second
-	// servicesAudit is how often the replicas are counted although the tree
-	// has not changed. Their owners keep them running; this only finds those
-	// that were ended by hand.
-	servicesAudit = time.Minute
-	replicaPrefix = "svc-"
-	replicaPage   = 500
-	serviceShop   = "dewpass"
+	servicesRole     = "services"
+	servicesInterval = 2 * time.Second
+	// servicesAuditInterval is how often replicas are counted when the tree has
+	// not changed. Owners keep replicas running; this only finds those that were
+	// cancelled by hand.
+	servicesAuditInterval = time.Minute
+	replicaPrefix         = "svc-"
+	replicaPageSize       = 500
+	serviceShop           = "dewpass"
 )
 
-// serve keeps the services at their count until ctx ends. One instance of each
-// hall does it for the replicas that fall to its hall.
-func (e *Entry) serve(ctx context.Context) {
-	t := time.NewTicker(servicesEvery)
+// runServices keeps services at their replica counts until ctx ends. One instance
+// of each hall does it for the replicas of that hall.
+func (e *Entry) runServices(ctx context.Context) {
+	t := time.NewTicker(servicesInterval)
 	defer t.Stop()
 	var counted time.Time
 	var version uint64
@@ -46,18 +46,19 @@
 		}
 		now := clock.Now()
 		c := e.register.Now()
-		due := c.Version != version || now.Sub(counted) > servicesAudit
-		if !due || !e.ready() || e.keeper.CutOff(now) || !e.leads(servicesRole, now) {
+		due := c.Version != version || now.Sub(counted) > servicesAuditInterval
+		if !due || !e.ready() || e.coordinator.CutOff(now) || !e.isLeader(servicesRole, now) {
 			continue
 		}
-		if e.countServices(ctx, c) {
+		if e.reconcileServices(ctx, c) {
 			counted, version = now, c.Version
 		}
 	}
 }
 
-// leads reports whether this instance does what one of its hall has to do.
-func (e *Entry) leads(role string, now time.Time) bool {
+// isLeader reports whether this instance performs a task that one instance of its
+// hall has to perform.
+func (e *Entry) isLeader(role string, now time.Time) bool {
 	members := []string{e.settings.Instance}
 	for _, p := range e.peers.Live(e.settings.Hall, now) {
 		if !p.Leaving {
@@ -67,8 +68,8 @@
 	return hall.Rank(role, members)[0] == e.settings.Instance
 }
 
-// leadsOwners is leads among the instances that own racks.
-func (e *Entry) leadsOwners(role string, now time.Time) bool {
+// isLeaderOfOwners is isLeader restricted to the instances that own racks.
+func (e *Entry) isLeaderOfOwners(role string, now time.Time) bool {
 	if len(e.owner.Owned()) == 0 {
 		return false
 	}
@@ -81,38 +82,39 @@
 	return hall.Rank(role, members)[0] == e.settings.Instance
 }
 
-// elsewhere finds a rack for a job that its own has no room for. It is called
-// with the owner's lock held, so it works on the summaries that were last sent.
-func (e *Entry) elsewhere(demand sched.Vec, not string) (h, rack string, ok bool) {
-	return e.front.Elsewhere(e.spread.last(), demand, not)
+// findRackElsewhere returns a rack for a job that does not fit on its own rack. The
+// owner calls it with its lock held, so it must not call the owner and uses the
+// summaries that were last sent to peers.
+func (e *Entry) findRackElsewhere(demand sched.Vec, exclude string) (h, rack string, ok bool) {
+	return e.front.Elsewhere(e.summaries.current(), demand, exclude)
 }
 
-// tell tells a peer of a job that was moved to its rack.
-func (e *Entry) tell(row job.Job, version uint64) {
-	ctx, cancel := context.WithTimeout(context.Background(), pullTimeout)
+// notifyMoved tells the owner of a rack that a job was moved to it.
+func (e *Entry) notifyMoved(row job.Job, version uint64) {
+	ctx, cancel := context.WithTimeout(context.Background(), fetchTimeout)
 	defer cancel()
 	if err := e.front.Tell(ctx, row, version); err != nil {
-		level.Debug(e.kit.Log).Log("msg", "move not told", "job", row.ID, "err", err)
+		level.Debug(e.kit.Log).Log("msg", "notification of moved job not delivered", "job", row.ID, "err", err)
 	}
 }
 
-// countServices starts the replicas that are missing and ends those that are
-// too many.
-func (e *Entry) countServices(ctx context.Context, c *tree.Compiled) bool {
+// reconcileServices starts missing replicas and cancels surplus ones. It returns
+// false if a service could not be reconciled.
+func (e *Entry) reconcileServices(ctx context.Context, c *tree.Compiled) bool {
 	for _, w := range c.Workloads {
 		if w.Kind != tree.Service {
 			continue
 		}
-		if err := e.countService(ctx, c, w); err != nil {
-			level.Warn(e.kit.Log).Log("msg", "service not counted", "workload", w.Path, "err", err)
+		if err := e.reconcileService(ctx, c, w); err != nil {
+			level.Warn(e.kit.Log).Log("msg", "replicas of service not reconciled", "workload", w.Path, "err", err)
 			return false
 		}
 	}
 	return true
 }
 
-// part returns how many replicas of a service fall to this hall.
-func (e *Entry) part(c *tree.Compiled, w *tree.Workload) int {
+// localReplicas returns how many replicas of a service run in this hall.
+func (e *Entry) localReplicas(c *tree.Compiled, w *tree.Workload) int {
 	for i, h := range c.Halls {
 		if h == e.settings.Hall {
 			n := len(c.Halls)
@@ -125,13 +127,13 @@
 	return 0
 }
 
-func (e *Entry) countService(ctx context.Context, c *tree.Compiled, w *tree.Workload) error {
+func (e *Entry) reconcileService(ctx context.Context, c *tree.Compiled, w *tree.Workload) error {
 	prefix := replicaPrefix + strings.ReplaceAll(w.Path, "/", "-") + "-" + e.settings.Hall + "-"
 	live, err := e.replicas(ctx, job.RowKey(prefix))
 	if err != nil {
 		return err
 	}
-	want := e.part(c, w)
+	want := e.localReplicas(c, w)
 	for i := len(live); i < want; i++ {
 		row := job.Job{
 			ID:   fmt.Sprintf("%s%s", prefix, uid.New()),
@@ -150,12 +152,12 @@
 	return nil
 }
 
-// replicas returns the jobs with a prefix that are not over.
+// replicas returns the unfinished jobs whose row keys have a prefix.
 func (e *Entry) replicas(ctx context.Context, prefix string) ([]job.Job, error) {
 	var live []job.Job
 	after := ""
 	for {
-		rows, err := e.platform.Scan(ctx, prefix, after, replicaPage)
+		rows, err := e.platform.Scan(ctx, prefix, after, replicaPageSize)
 		if err != nil || len(rows) == 0 {
 			return live, err
 		}
