--- a/link/dialer.go
+++ b/link/dialer.go
@@ -20,35 +20,35 @@
 
 const (
 	dialTimeout = time.Second
-	// redialPause keeps an unreachable peer from being dialled for every
-	// request.
-	redialPause = 200 * time.Millisecond
-	// silentAfter is for how long a session may bring nothing while a request waits: a
-	// live peer acknowledges a stream at once. The least time that a request is given
-	// is 400 ms, and a peer whose processor is used up pauses for 100 ms.
-	silentAfter = 300 * time.Millisecond
+	// redialDelay limits how often an unreachable peer is dialled.
+	redialDelay = 200 * time.Millisecond
+	// silenceTimeout is how long a session may receive no data while a request is pending.
+	// A live peer acknowledges a stream at once. It is below the shortest timeout of a
+	// request (400 ms) and above the pauses of a peer that has used up its CPU quota (100 ms).
+	silenceTimeout = 300 * time.Millisecond
 )
 
-// Dialer keeps one session to each peer.
+// Dialer sends requests over one session per peer.
 type Dialer struct {
-	// TLS returns the configuration for a host; it is nil for plain TCP.
+	// TLS returns the configuration for a host; nil means plain TCP.
 	TLS func(host string) *tls.Config
 
 	mu    sync.Mutex
 	peers map[string]*peer
 }
 
+// peer holds the session to one address.
 type peer struct {
-	// turn holds one token; who has it may use the other fields. A caller whose
-	// time is over does not wait for another one's dial.
-	turn    chan struct{}
-	session *session
-	failed  time.Time
-	err     error
+	// sem is a semaphore of one that guards the other fields. Unlike with a mutex,
+	// a caller whose context ends stops waiting for the dial of another caller.
+	sem      chan struct{}
+	session  *session
+	failedAt time.Time
+	dialErr  error
 }
 
 // Do sends a request to the peer at an address and returns its reply. An error
-// that the reply carries is returned as an error.
+// in the reply is returned as an error.
 func (d *Dialer) Do(ctx context.Context, addr string, req *wire.Request) (*wire.Reply, error) {
 	if err := fault.Link("peer/" + addr); err != nil {
 		return nil, err
@@ -64,10 +64,10 @@
 	var reply wire.Reply
 	if err := exchange(stream, req, &reply); err != nil {
 		switch now := time.Now(); {
-		case session.silent(begun, now):
-			// The next request would have no answer either. Close may wait for a write.
+		case session.noDataSince(begun, now):
+			// The next request would get no answer either. Close may block on a pending write.
 			go session.Close()
-		case session.quiet(now):
+		case session.noRecentData(now):
 			session.probe()
 		}
 		return nil, kind.Wrap(kind.Lost, err, "peer "+addr)
@@ -81,16 +81,16 @@
 	return &reply, nil
 }
 
-// open opens a stream to the peer at an address. A session that is being closed, as it was
-// silent for an earlier request, is replaced once: nothing was sent on it.
+// open opens a stream to the peer at an address. It retries once with a new session if the
+// session turns out to be closed, as nothing was sent on that one.
 func (d *Dialer) open(ctx context.Context, addr string) (*session, *yamux.Stream, error) {
-	for again := true; ; again = false {
-		session, err := d.peer(addr).get(ctx, addr, d.TLS)
+	for retry := true; ; retry = false {
+		session, err := d.peer(addr).getSession(ctx, addr, d.TLS)
 		if err != nil {
 			return nil, nil, err
 		}
 		stream, err := session.OpenStream()
-		if err == nil || !again || !session.IsClosed() {
+		if err == nil || !retry || !session.IsClosed() {
 			return session, stream, err
 		}
 	}
@@ -104,21 +104,21 @@
 	return readFrame(stream, reply)
 }
 
-// Close ends all sessions.
+// Close closes all sessions.
 func (d *Dialer) Close() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, p := range d.peers {
-		p.drop()
+		p.closeSession()
 	}
 }
 
-// Forget ends the session to an address that is no longer a peer's.
+// Forget closes the session to an address that no longer belongs to a peer.
 func (d *Dialer) Forget(addr string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if p := d.peers[addr]; p != nil {
-		p.drop()
+		p.closeSession()
 		delete(d.peers, addr)
 	}
 }
@@ -131,31 +131,31 @@
 	}
 	p := d.peers[addr]
 	if p == nil {
-		p = &peer{turn: make(chan struct{}, 1)}
+		p = &peer{sem: make(chan struct{}, 1)}
 		d.peers[addr] = p
 	}
 	return p
 }
 
-// get returns the session, dialling if there is none.
-func (p *peer) get(ctx context.Context, addr string, conf func(string) *tls.Config) (*session, error) {
+// getSession returns the open session, dialling if there is none.
+func (p *peer) getSession(ctx context.Context, addr string, conf func(string) *tls.Config) (*session, error) {
 	select {
-	case p.turn <- struct{}{}:
-		defer func() { <-p.turn }()
+	case p.sem <- struct{}{}:
+		defer func() { <-p.sem }()
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
 	if p.session != nil && !p.session.IsClosed() {
 		return p.session, nil
 	}
-	if p.err != nil && time.Since(p.failed) < redialPause {
-		return nil, p.err
+	if p.dialErr != nil && time.Since(p.failedAt) < redialDelay {
+		return nil, p.dialErr
 	}
-	p.session, p.err = dial(ctx, addr, conf)
-	if p.err != nil {
-		p.failed = time.Now()
+	p.session, p.dialErr = dial(ctx, addr, conf)
+	if p.dialErr != nil {
+		p.failedAt = time.Now()
 	}
-	return p.session, p.err
+	return p.session, p.dialErr
 }
 
 func dial(ctx context.Context, addr string, conf func(string) *tls.Config) (*session, error) {
@@ -165,8 +165,8 @@
 	if err != nil {
 		return nil, err
 	}
-	heard := &heardConn{Conn: raw}
-	var c net.Conn = heard
+	tracked := &activityConn{Conn: raw}
+	var c net.Conn = tracked
 	if conf != nil {
 		host, _, _ := net.SplitHostPort(addr)
 		t := tls.Client(c, conf(host))
@@ -177,12 +177,12 @@
 		c = t
 	}
 	y, err := yamux.Client(c, sessionConfig())
-	return &session{Session: y, conn: heard, opened: time.Now()}, err
+	return &session{Session: y, conn: tracked, openedAt: time.Now()}, err
 }
 
-func (p *peer) drop() {
-	p.turn <- struct{}{}
-	defer func() { <-p.turn }()
+func (p *peer) closeSession() {
+	p.sem <- struct{}{}
+	defer func() { <-p.sem }()
 	if p.session != nil {
 		_ = p.session.Close()
 		p.session = nil
--- a/link/doc.go
+++ b/link/doc.go
@@ -1,14 +1,14 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package link carries messages between entry instances.
+// Package link carries requests between entry instances.
 //
-// A Server accepts yamux sessions on a TCP address, with TLS if it is given a
-// configuration, and hands each stream's request to a Handler. A Dialer keeps
-// one session to each peer, opens it when first needed, and drops it when it
-// breaks or goes silent: a connection may stop carrying anything without a reset.
-// One exchange is one stream: a request, a reply, both protobuf with
-// their length in front.
+// A Server accepts yamux sessions on a TCP address, optionally with TLS, and
+// passes the request of each stream to a Handler. A Dialer keeps one session to
+// each peer, opens it when first needed, and replaces it when it breaks or stops
+// receiving data: a connection may go dead without a reset. Each exchange uses a
+// stream of its own for one request and one reply, both length-prefixed protobuf
+// messages.
 //
-// An exchange that fails says how far it got. Unavailable means that the
-// request never left; Lost means that the peer may have acted on it.
+// The kind of an error says how far the exchange got: with Unavailable the request
+// was never sent, with Lost the peer may have acted on it.
 package link
--- a/link/link_test.go
+++ b/link/link_test.go
@@ -23,7 +23,7 @@
 	RunSpecs(t, "link")
 }
 
-// echo answers a hello after a while.
+// echo returns the hello of the request after a delay.
 type echo struct{ after time.Duration }
 
 func (e echo) Handle(_ context.Context, req *wire.Request) *wire.Reply {
@@ -56,7 +56,7 @@
 		}
 	})
 
-	It("is unavailable when it never left, and lost when it may have arrived", func(ctx context.Context) {
+	It("fails as lost if the request may have arrived, and as unavailable if it was never sent", func(ctx context.Context) {
 		addr, s, l := listen(echo{after: time.Minute})
 		d := &Dialer{}
 		defer d.Close()
@@ -74,18 +74,18 @@
 })
 
 var _ = Describe("a dial that hangs", func() {
-	It("holds up nobody beyond their own time", func(ctx context.Context) {
+	It("blocks no other caller beyond the end of its context", func(ctx context.Context) {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
 		defer l.Close()
-		// The listener accepts by its queue and never answers the handshake.
+		// The kernel accepts the connection; nobody answers the TLS handshake.
 		d := &Dialer{TLS: func(string) *tls.Config { return &tls.Config{MinVersion: tls.VersionTLS13, ServerName: "x"} }}
 		first := make(chan struct{})
 		go func() {
 			defer close(first)
 			_, _ = d.Do(ctx, l.Addr().String(), hello("a"))
 		}()
-		Eventually(func() int { return len(d.peer(l.Addr().String()).turn) }).Should(Equal(1))
+		Eventually(func() int { return len(d.peer(l.Addr().String()).sem) }).Should(Equal(1))
 		short, cancel := context.WithTimeout(ctx, dialTimeout/20)
 		defer cancel()
 		_, err = d.Do(short, l.Addr().String(), hello("b"))
--- a/link/server.go
+++ b/link/server.go
@@ -14,37 +14,37 @@
 	"dewpass.org/wire"
 )
 
-// Handler answers the requests of peers.
+// Handler answers requests of peers.
 type Handler interface {
 	// Handle answers one request. ctx ends when the server is closed.
 	Handle(ctx context.Context, req *wire.Request) *wire.Reply
 }
 
-// Server accepts sessions of peers.
+// Server accepts sessions from peers and serves their requests.
 type Server struct {
 	Handler Handler
 	// TLS is nil for plain TCP.
 	TLS *tls.Config
 
-	ctx    context.Context
-	cancel context.CancelFunc
-	wg     sync.WaitGroup
-	mu     sync.Mutex
-	open   map[*yamux.Session]struct{}
+	ctx      context.Context
+	cancel   context.CancelFunc
+	inflight sync.WaitGroup
+	mu       sync.Mutex
+	sessions map[*yamux.Session]struct{}
 }
 
-// Serve accepts sessions on l until Close. It returns once l is closed.
+// Serve accepts sessions on l and returns once l is closed.
 func (s *Server) Serve(l net.Listener) {
 	s.mu.Lock()
 	s.ctx, s.cancel = context.WithCancel(context.Background())
-	s.open = make(map[*yamux.Session]struct{})
+	s.sessions = make(map[*yamux.Session]struct{})
 	s.mu.Unlock()
 	for {
 		c, err := l.Accept()
 		if err != nil {
 			return
 		}
-		go s.session(c)
+		go s.serveSession(c)
 	}
 }
 
@@ -52,7 +52,7 @@
 func (s *Server) Drain(ctx context.Context) {
 	done := make(chan struct{})
 	go func() {
-		s.wg.Wait()
+		s.inflight.Wait()
 		close(done)
 	}()
 	select {
@@ -61,19 +61,19 @@
 	}
 }
 
-// Close ends all sessions.
+// Close closes all sessions and ends the context of the handlers.
 func (s *Server) Close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.cancel != nil {
 		s.cancel()
 	}
-	for session := range s.open {
+	for session := range s.sessions {
 		_ = session.Close()
 	}
 }
 
-func (s *Server) session(c net.Conn) {
+func (s *Server) serveSession(c net.Conn) {
 	if s.TLS != nil {
 		c = tls.Server(c, s.TLS)
 	}
@@ -83,27 +83,27 @@
 		return
 	}
 	s.mu.Lock()
-	s.open[session] = struct{}{}
+	s.sessions[session] = struct{}{}
 	s.mu.Unlock()
 	for {
 		stream, err := session.AcceptStream()
 		if err != nil {
 			break
 		}
-		s.wg.Add(1)
-		go s.stream(stream)
+		s.inflight.Add(1)
+		go s.serveStream(stream)
 	}
 	s.mu.Lock()
-	delete(s.open, session)
+	delete(s.sessions, session)
 	s.mu.Unlock()
 	_ = session.Close()
 }
 
-func (s *Server) stream(st *yamux.Stream) {
-	defer s.wg.Done()
+func (s *Server) serveStream(st *yamux.Stream) {
+	defer s.inflight.Done()
 	defer st.Close()
 	var req wire.Request
-	_ = st.SetReadDeadline(time.Now().Add(handshakeTime))
+	_ = st.SetReadDeadline(time.Now().Add(requestTimeout))
 	if err := readFrame(st, &req); err != nil {
 		return
 	}
--- a/link/session.go
+++ b/link/session.go
@@ -10,63 +10,65 @@
 	"github.com/hashicorp/yamux"
 )
 
-// session is a session to a peer that tells whether the peer is still heard on it.
+// session is a yamux session that tracks when the peer last sent data.
 //
-// yamux closes a session when the opening of a stream is not acknowledged, but a caller
-// that gives up and closes its stream before calls that off.
+// yamux closes a session if the opening of a stream is not acknowledged in time. A caller
+// that times out earlier and closes its stream cancels that timer, so this is not enough to
+// detect a dead connection.
 type session struct {
 	*yamux.Session
-	conn   *heardConn
-	opened time.Time
-	// probing says that probe is under way.
+	conn     *activityConn
+	openedAt time.Time
+	// probing is set while a probe is in progress.
 	probing atomic.Bool
 }
 
-// silent reports whether nothing has come since a request that was begun a while ago. A
-// session on which nothing came at all is that of a peer that is paused, for which a
-// new one is no better, and is given longer.
-func (s *session) silent(begun, now time.Time) bool {
-	last := s.conn.heard.Load()
+// noDataSince reports whether a request began more than silenceTimeout ago and nothing was
+// received since. A session that never received anything is given openTimeout instead: its
+// peer is probably paused, and a new session would fare no better.
+func (s *session) noDataSince(begun, now time.Time) bool {
+	last := s.conn.lastRead.Load()
 	if last == nil {
-		return now.Sub(s.opened) > openTimeout
+		return now.Sub(s.openedAt) > openTimeout
 	}
-	return last.Before(begun) && now.Sub(begun) > silentAfter
+	return last.Before(begun) && now.Sub(begun) > silenceTimeout
 }
 
-// quiet reports whether nothing has come for a while.
-func (s *session) quiet(now time.Time) bool {
-	last := s.conn.heard.Load()
-	return last != nil && now.Sub(*last) > silentAfter
+// noRecentData reports whether nothing was received for silenceTimeout.
+func (s *session) noRecentData(now time.Time) bool {
+	last := s.conn.lastRead.Load()
+	return last != nil && now.Sub(*last) > silenceTimeout
 }
 
-// probe closes the session unless something comes on it soon. What was heard since a request
-// began may have been on its way before, and then says nothing of the session.
+// probe pings the peer and closes the session if nothing is received within silenceTimeout.
+// Data received since a request began may have been in transit before it, so it does not prove
+// that the connection still works.
 func (s *session) probe() {
 	if s.probing.Swap(true) {
 		return
 	}
 	asked := time.Now()
 	go func() { _, _ = s.Ping() }()
-	time.AfterFunc(silentAfter, func() {
+	time.AfterFunc(silenceTimeout, func() {
 		defer s.probing.Store(false)
-		if last := s.conn.heard.Load(); last.Before(asked) {
+		if last := s.conn.lastRead.Load(); last.Before(asked) {
 			_ = s.Close()
 		}
 	})
 }
 
-// heardConn is a connection that notes when bytes last came.
-type heardConn struct {
+// activityConn is a connection that records when data was last read.
+type activityConn struct {
 	net.Conn
-	heard atomic.Pointer[time.Time]
+	lastRead atomic.Pointer[time.Time]
 }
 
 // Read implements net.Conn.
-func (c *heardConn) Read(b []byte) (int, error) {
+func (c *activityConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	if n > 0 {
 		now := time.Now()
-		c.heard.Store(&now)
+		c.lastRead.Store(&now)
 	}
 	return n, err
 }
--- a/link/silent_test.go
+++ b/link/silent_test.go
@@ -17,12 +17,12 @@
 	"dewpass.org/wire"
 )
 
-// A session that had gone silent was replaced after 1.71 s in place of 0.85 s, once in 25 runs
-// beside other work. The first request on it, of 0.6 s, did not close it, and the second did:
-// 0.6 + 0.25 + 0.85 s. A byte of the exchange before, the close of its stream by the peer, was
-// read just after the first request had begun, so that something seemed to have been heard
-// since. Whatever comes late for another reason does the same; here it is a ping of the peer.
-var _ = Describe("a session that goes silent just after a byte that was on its way", func() {
+// Guards against a dead session that is replaced only after a second failed request (1.71 s
+// instead of 0.85 s, seen once in 25 runs under load). Data of the exchange before, the peer's
+// close of its stream, was read just after the next request had begun, so the session seemed to
+// be alive: the first request, of 0.6 s, did not close it and the second one did (0.6 + 0.25 +
+// 0.85 s). Any late data has this effect; the test uses a ping of the peer.
+var _ = Describe("a session that goes silent after data in transit has arrived", func() {
 	It("is replaced within a second and a half", func(ctx context.Context) {
 		addr, s, _ := listen(echo{})
 		p, err := mute.Listen(addr)
@@ -38,9 +38,9 @@
 		}
 		Expect(ask()).To(Succeed())
 		s.mu.Lock()
-		accepted := slices.Collect(maps.Keys(s.open))[0]
+		accepted := slices.Collect(maps.Keys(s.sessions))[0]
 		s.mu.Unlock()
-		Eventually(accepted.NumStreams).Should(BeZero(), "the dialer says nothing more")
+		Eventually(accepted.NumStreams).Should(BeZero(), "the last stream is closed")
 		p.SilenceLate()
 		go func() { _, _ = accepted.Ping() }()
 		Eventually(p.Held).Should(BeNumerically(">", 0))
@@ -50,7 +50,7 @@
 		Expect(time.Since(silent)).To(BeNumerically("<", 1500*time.Millisecond))
 	})
 
-	It("stays if the peer is heard again and only its answer takes long", func(ctx context.Context) {
+	It("is kept if the peer still responds and only its answer is slow", func(ctx context.Context) {
 		addr, _, _ := listen(echo{after: 2 * time.Second})
 		d := &Dialer{}
 		defer d.Close()
@@ -63,26 +63,26 @@
 			now := d.peer(addr).session
 			Expect(first == nil || first == now).To(BeTrue(), "the session was replaced")
 			first = now
-			Consistently(first.IsClosed, 2*silentAfter).Should(BeFalse())
+			Consistently(first.IsClosed, 2*silenceTimeout).Should(BeFalse())
 		}
 	})
 })
 
-// Peers' sessions went silent without a reset, and greetings to and from these peers had
-// no answer any more, while new connections worked. A session was closed only once an
-// opened stream had gone 2 s without an acknowledgement, and a caller that gave up and
-// closed its stream, after 600 ms for a greeting, called that timer off: each greeting
-// failed with "i/o deadline reached" and the next one took the same session.
+// Guards against requests that keep using a dead session while new connections would work.
+// Connections went dead without a reset. yamux closed a session only once an opened stream had
+// gone 2 s without an acknowledgement, and a caller that timed out and closed its stream (after
+// 600 ms for a hello) cancelled that timer. Each hello failed with "i/o deadline reached", and
+// the next one used the same session.
 var _ = Describe("a session that goes silent", func() {
 	const (
-		// limit and every are those of greetings.
+		// limit and every are the timeout and the interval of hellos.
 		limit = 600 * time.Millisecond
 		every = 250 * time.Millisecond
-		// within is half of how long after a reset the rules of users hold again.
+		// within is half of the time after a reset by which the guarantees to users hold again.
 		within = 1500 * time.Millisecond
 	)
 
-	It("is replaced within a second and a half, although callers give up sooner than that", func(ctx context.Context) {
+	It("is replaced within a second and a half, although callers time out earlier", func(ctx context.Context) {
 		addr, s, _ := listen(echo{})
 		p, err := mute.Listen(addr)
 		Expect(err).NotTo(HaveOccurred())
@@ -104,12 +104,12 @@
 		sessions := func() int {
 			s.mu.Lock()
 			defer s.mu.Unlock()
-			return len(s.open)
+			return len(s.sessions)
 		}
-		Eventually(sessions).Should(Equal(1), "the server forgets the silent one")
+		Eventually(sessions).Should(Equal(1), "the server closes the dead session")
 	})
 
-	It("stays for two seconds if nothing ever came, as that of a paused peer does", func(ctx context.Context) {
+	It("is kept for two seconds if it never received data, as with a paused peer", func(ctx context.Context) {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
 		defer l.Close()
@@ -123,7 +123,7 @@
 		}
 		ask()
 		first := d.peer(l.Addr().String()).session
-		for time.Since(first.opened) < openTimeout-limit {
+		for time.Since(first.openedAt) < openTimeout-limit {
 			ask()
 			Expect(d.peer(l.Addr().String()).session).To(BeIdenticalTo(first))
 			Expect(first.IsClosed()).To(BeFalse())
@@ -135,7 +135,7 @@
 })
 
 var _ = Describe("a session that goes silent under a large request", func() {
-	It("is replaced, though the request ends while it is written", func(ctx context.Context) {
+	It("is replaced, although the request times out while it is being written", func(ctx context.Context) {
 		addr, _, _ := listen(echo{})
 		p, err := mute.Listen(addr)
 		Expect(err).NotTo(HaveOccurred())
@@ -150,7 +150,7 @@
 		}
 		Expect(ask(hello("a"))).To(Succeed())
 		Expect(p.Silence()).To(Equal(1))
-		// A transaction of 1 MB that is carried by a peer: more than a stream's window.
+		// A transaction of 1 MB that is forwarded by a peer: larger than the window of a stream.
 		large := &wire.Request{Body: &wire.Request_Store{Store: &wire.StoreCall{Call: make([]byte, 1<<20)}}}
 		for range 3 {
 			_ = ask(large)
