--- a/hall/handover.go
+++ b/hall/handover.go
@@ -27,8 +27,8 @@
 			continue
 		}
 		k.lastMove = now
-		closing, cancel := context.WithTimeout(ctx, closeTimeout)
-		closed := k.Racks.Close(closing, r)
+		closeCtx, cancel := context.WithTimeout(ctx, closeTimeout)
+		closed := k.Racks.Close(closeCtx, r)
 		cancel()
 		if closed {
 			k.handOver(ctx, r, to)
@@ -93,13 +93,13 @@
 		}
 	}
 	target := Assign(all, k.members(now), present)
-	closing, cancel := context.WithTimeout(ctx, closeTimeout)
+	closeCtx, cancel := context.WithTimeout(ctx, closeTimeout)
 	defer cancel()
 	for _, r := range sortedNames(owned) {
 		if target[r] == "" {
 			continue
 		}
-		if !k.Racks.Close(closing, r) {
+		if !k.Racks.Close(closeCtx, r) {
 			level.Warn(k.Log).Log("msg", "rack handed over with placed work not yet sent", "rack", r)
 		}
 		k.handOver(ctx, r, target[r])
