--- a/entry/entry.go
+++ b/entry/entry.go
@@ -210,7 +210,7 @@
 	go e.owner.Run(work)
 	go e.sendHellos(work)
 	go e.followTree(work)
-	go e.front.Flush(work)
+	go e.front.FlushRefusals(work)
 	go e.runServices(work)
 	go e.rescue(work)
 	go e.sweep(work)
--- a/entry/greet.go
+++ b/entry/greet.go
@@ -257,7 +257,7 @@
 	if h.Hall == e.settings.Hall {
 		e.owner.MarkLeaving(h.LeavingWorkers)
 	}
-	e.front.HeardRefusals(h.Refusals)
+	e.front.AddRefusals(h.Refusals)
 	if h.TreeVersion > e.register.Now().Version {
 		go e.fetchNewerTree(h.PeerAddr)
 	}
--- a/entry/rescue.go
+++ b/entry/rescue.go
@@ -80,12 +80,12 @@
 		delete(absences, h)
 		return nil
 	}
-	gone, err := e.absentFor(ctx, h, absences)
+	absentTime, err := e.absentFor(ctx, h, absences)
 	if err != nil {
 		return err
 	}
 	for rack := range racks {
-		if err := e.rescueRack(ctx, c, h, rack, gone, lost); err != nil {
+		if err := e.rescueRack(ctx, c, h, rack, absentTime, lost); err != nil {
 			return err
 		}
 	}
@@ -123,7 +123,7 @@
 }
 
 // rescueRack moves the unfinished jobs of a rack that may be moved.
-func (e *Entry) rescueRack(ctx context.Context, c *tree.Compiled, h, rack string, gone time.Duration, lost bool) error {
+func (e *Entry) rescueRack(ctx context.Context, c *tree.Compiled, h, rack string, absentTime time.Duration, lost bool) error {
 	index, err := e.platform.Scan(ctx, job.IndexPrefix(rack), "", scanPageSize)
 	if err != nil || len(index) == 0 {
 		return err
@@ -142,7 +142,7 @@
 			continue
 		}
 		w := c.Workloads[j.Workload]
-		if w == nil || !lost && !mayMove(w, gone, time.Duration(e.settings.TaskLease)) {
+		if w == nil || !lost && !mayMove(w, absentTime, time.Duration(e.settings.TaskLease)) {
 			continue
 		}
 		if err := e.moveJob(ctx, j, row.Version, w); err != nil {
@@ -155,8 +155,8 @@
 // mayMove reports whether the job's own hall has certainly stopped it by now. A
 // hall that is cut off stops its movable jobs before MoveAfter is over, and workers
 // stop tasks whose lease is not renewed.
-func mayMove(w *tree.Workload, gone, taskLease time.Duration) bool {
-	return w.CutOff == tree.Move && gone > w.MoveAfter+lease.Margin(w.MoveAfter)+2*taskLease
+func mayMove(w *tree.Workload, absentTime, taskLease time.Duration) bool {
+	return w.CutOff == tree.Move && absentTime > w.MoveAfter+lease.Margin(w.MoveAfter)+2*taskLease
 }
 
 // moveJob moves a job to a rack of this hall. A job that must not be repeated and
@@ -169,7 +169,7 @@
 		}
 		j.State, j.Why = job.Unknown, "its hall is lost"
 	} else {
-		rack, ok := e.front.OwnRack(w)
+		rack, ok := e.front.BestOwnRack(w)
 		if !ok {
 			return nil
 		}
--- a/entry/services.go
+++ b/entry/services.go
@@ -86,14 +86,14 @@
 // owner calls it with its lock held, so it must not call the owner and uses the
 // summaries that were last sent to peers.
 func (e *Entry) findRackElsewhere(demand sched.Vec, exclude string) (h, rack string, ok bool) {
-	return e.front.Elsewhere(e.summaries.current(), demand, exclude)
+	return e.front.FindRackElsewhere(e.summaries.current(), demand, exclude)
 }
 
 // notifyMoved tells the owner of a rack that a job was moved to it.
 func (e *Entry) notifyMoved(row job.Job, version uint64) {
 	ctx, cancel := context.WithTimeout(context.Background(), fetchTimeout)
 	defer cancel()
-	if err := e.front.Tell(ctx, row, version); err != nil {
+	if err := e.front.NotifyMoved(ctx, row, version); err != nil {
 		level.Debug(e.kit.Log).Log("msg", "notification of moved job not delivered", "job", row.ID, "err", err)
 	}
 }
--- a/front/calls.go
+++ b/front/calls.go
@@ -44,35 +44,36 @@
 	if err := f.refusals.check(req); err != nil {
 		return nil, err
 	}
-	left := w.Deadline
+	timeout := w.Deadline
 	if req.DeadlineMS != nil {
-		left = time.Duration(*req.DeadlineMS) * time.Millisecond
+		timeout = time.Duration(*req.DeadlineMS) * time.Millisecond
 	}
-	// A caller that hangs up does not end its call: what became of it can
-	// still be asked for.
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), left)
+	// A call goes on if its caller disconnects; its outcome can still be
+	// asked for.
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), timeout)
 	defer cancel()
-	ans, err := f.route(ctx, req, w)
+	ans, err := f.executeCall(ctx, req, w)
 	if err != nil {
 		return nil, err
 	}
 	return ok(ans)
 }
 
-// route admits a call and passes it on until it is answered.
-func (f *Front) route(ctx context.Context, req *request, w *tree.Workload) (*Answer, error) {
+// executeCall admits a call and forwards it. If a call that must not be repeated
+// gets no result, its key decides the answer.
+func (f *Front) executeCall(ctx context.Context, req *request, w *tree.Workload) (*Answer, error) {
 	c := &wire.Call{
 		Id: uid.New(), Shop: req.Shop, Key: req.Key, Workload: w.Path,
 		Payload: req.Payload, Once: req.Once, FirstTry: req.FirstTry,
 	}
 	var reply *wire.CallReply
-	err := f.limits.allow(w, f.instances())
+	err := f.rates.allow(w, f.instances())
 	if err == nil {
 		fault.At(fault.Admitted)
-		reply, err = f.passOn(ctx, c, w)
+		reply, err = f.forward(ctx, c, w)
 	}
 	if err == nil {
-		return answerOf(req, reply)
+		return newAnswer(req, reply)
 	}
 	if !req.Once {
 		return nil, err
@@ -81,35 +82,34 @@
 	if err != nil {
 		return nil, err
 	}
-	return f.await(ctx, req, row)
+	return f.awaitEarlier(ctx, req, row)
 }
 
-// passOn passes a call to one place after another, for as long as each refuses
-// it for certain.
-func (f *Front) passOn(ctx context.Context, c *wire.Call, w *tree.Workload) (*wire.CallReply, error) {
-	f.budget.first()
-	var last error = kind.New(kind.NoCapacity, "no owner can be reached")
-	for i, t := range f.tries(w.Demand) {
+// forward sends a call to one owner after another while each certainly refuses it.
+func (f *Front) forward(ctx context.Context, c *wire.Call, w *tree.Workload) (*wire.CallReply, error) {
+	f.budget.addFirstTry()
+	var lastErr error = kind.New(kind.NoCapacity, "no owner can be reached")
+	for i, t := range f.attempts(w.Demand) {
 		deadline, _ := ctx.Deadline()
-		left := time.Until(deadline)
-		if left <= 0 {
+		remaining := time.Until(deadline)
+		if remaining <= 0 {
 			return nil, kind.New(kind.Deadline, "")
 		}
-		if i > 0 && !t.queue && !f.budget.again() {
+		if i > 0 && !t.queue && !f.budget.takeRetry() {
 			continue
 		}
-		c.LeftUs, c.Queue = left.Microseconds(), t.queue
-		reply, err := f.pass(ctx, t.place, c)
-		if err == nil || !passedBy(err) {
+		c.LeftUs, c.Queue = remaining.Microseconds(), t.queue
+		reply, err := f.forwardTo(ctx, t.candidate, c)
+		if err == nil || !mayTryNext(err) {
 			return reply, err
 		}
-		last = err
+		lastErr = err
 	}
-	return nil, last
+	return nil, lastErr
 }
 
-// passedBy reports whether an error says that another owner may be asked.
-func passedBy(err error) bool {
+// mayTryNext reports whether an error allows another owner to be tried.
+func mayTryNext(err error) bool {
 	e := kind.Of(err)
 	if e.Outcome != kind.NotRun {
 		return false
@@ -121,16 +121,16 @@
 	return false
 }
 
-// answerOf checks that an answer is whole and its own, and makes the body.
-func answerOf(req *request, reply *wire.CallReply) (*Answer, error) {
+// newAnswer returns the body for a reply after checking that the reply is complete.
+func newAnswer(req *request, reply *wire.CallReply) (*Answer, error) {
 	if reply == nil {
 		return nil, kind.New(kind.Damaged, "the peer's reply is empty")
 	}
-	whole := ports.Answer{
+	answer := ports.Answer{
 		ID: reply.Id, Attempt: reply.Attempt, Length: int(reply.Length),
 		Digest: reply.Digest, Body: reply.Body,
 	}
-	if err := whole.Whole(reply.Id, reply.Attempt); err != nil {
+	if err := answer.Whole(reply.Id, reply.Attempt); err != nil {
 		return nil, kind.Of(err).Uncertain(reply.Id)
 	}
 	return &Answer{
@@ -139,31 +139,31 @@
 	}, nil
 }
 
-// pollEvery is how often an earlier try of the same key is asked after.
-const pollEvery = 100 * time.Millisecond
+// pollInterval is the time between queries for an earlier request with the same key.
+const pollInterval = 100 * time.Millisecond
 
-// await waits for the end of an earlier try with the same key.
-func (f *Front) await(ctx context.Context, req *request, row job.Job) (*Answer, error) {
+// awaitEarlier waits for the end of an earlier request with the same key.
+func (f *Front) awaitEarlier(ctx context.Context, req *request, row job.Job) (*Answer, error) {
 	for !row.State.Over() && row.State != job.Unknown {
 		select {
-		case <-time.After(pollEvery):
+		case <-time.After(pollInterval):
 		case <-ctx.Done():
 			return nil, kind.New(kind.Lost, "the first try is "+string(row.State)).Uncertain(row.ID)
 		}
-		next, err := f.find(ctx, row.ID)
+		next, err := f.findJob(ctx, row.ID)
 		if err != nil {
 			return nil, kind.Of(err).Uncertain(row.ID)
 		}
 		row = next
 	}
-	return f.ended(ctx, req, row)
+	return f.resultOf(ctx, req, row)
 }
 
-// ended returns the answer of a call that is over.
-func (f *Front) ended(ctx context.Context, req *request, row job.Job) (*Answer, error) {
+// resultOf returns the answer of a finished call.
+func (f *Front) resultOf(ctx context.Context, req *request, row job.Job) (*Answer, error) {
 	switch row.State {
 	case job.Done:
-		row, err := f.whole(ctx, row)
+		row, err := f.loadAnswer(ctx, row)
 		if err != nil {
 			return nil, err
 		}
--- a/front/doc.go
+++ b/front/doc.go
@@ -1,21 +1,24 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package front answers callers and operators over HTTP.
+// Package front serves callers and operators over HTTP.
 //
-// A call is checked, admitted by its team's rate, and passed to an owner: the
-// better of two that say they have room. An owner that refuses it for certain
-// is followed by another one, then by one of another hall, and at last by one
-// at which the call may wait. Each further try takes from a budget that grows
-// with first tries, so that a hall under stress is not asked twice as often.
-// A try follows only a certain refusal; no call is ever sent to two owners at
-// once.
+// A call is checked, admitted by the rate limit of its workload, and forwarded to
+// an owner: of two owners chosen at random, the one with more room. If the owner
+// certainly refuses the call, the next attempts go to another owner of this hall,
+// to one of another hall, and finally to owners where the call may be queued.
+// Attempts without queueing after the first take from a retry budget that grows
+// with first attempts, so that an overloaded hall does not get a multiple of its
+// load. An attempt follows only a certain refusal; a call is never sent to two
+// owners at once.
 //
-// A job is passed to the owner of a rack, which writes it down before it says
-// yes. A request key leads to the first request that came with it.
+// A job is submitted to the owner of a rack, which writes it to the table before it
+// accepts it. A request with a key that was used before gets the result of the
+// first request with that key.
 //
-// Every answer that is not a result carries a kind, says not_run or unknown,
-// and when to come back. Not_run to a request with a key closes the key: the
-// refusal is written down, so that no copy of it can run later. While the
-// table cannot be asked, that promise is made only for a first try that was
-// passed to nobody, and remembered until it can be written.
+// Each answer that is not a result carries a kind, an outcome such as not_run or
+// unknown, and a time after which to retry. A request with a key gets not_run only
+// when its key is closed: the refusal is written to the table, so that no copy of
+// the request can run later. While the table cannot be reached, this promise is
+// made only to a first try that no owner has accepted. The refusal is then held in
+// memory until it can be written.
 package front
--- a/front/front.go
+++ b/front/front.go
@@ -32,7 +32,7 @@
 	"dewpass.org/wire"
 )
 
-// Owner is the owner within the same process.
+// Owner is the owner of racks within this process.
 type Owner interface {
 	Call(ctx context.Context, req *wire.Call) (*wire.CallReply, error)
 	Submit(ctx context.Context, row job.Job) (job.Job, error)
@@ -41,12 +41,12 @@
 	Summary() []*wire.Rack
 }
 
-// Committer writes rows.
+// Committer commits changes of rows.
 type Committer interface {
 	Commit(ctx context.Context, c commit.Change) (uint64, error)
 }
 
-// Front answers callers and operators. Fill in the exported fields, then call
+// Front serves callers and operators. Set the exported fields, then call
 // Handler.
 type Front struct {
 	Instance string
@@ -59,12 +59,12 @@
 	Journal  Committer
 	Tree     *tree.Register
 	Store    *tree.Store
-	// Confirm returns once the tree in force is known to be the newest that
-	// can be asked for; it costs nothing unless the process was paused.
+	// Confirm returns once the tree in force is known to be the newest one that
+	// can be reached. It only takes time after the process was paused.
 	Confirm func(ctx context.Context)
-	// CutOff reports whether the platform's table has not answered of late.
+	// CutOff reports whether the platform's table has been unreachable for some time.
 	CutOff func() bool
-	// Ready reports whether callers may be sent here.
+	// Ready reports whether this instance can serve callers.
 	Ready   func() bool
 	Log     log.Logger
 	Scope   tally.Scope
@@ -72,31 +72,31 @@
 	Metrics http.Handler
 	Pprof   bool
 
-	view     view
-	limits   limits
-	budget   budget
+	cache    candidateCache
+	rates    rateLimits
+	budget   retryBudget
 	refusals refusals
 	inflight sync.WaitGroup
 }
 
-// requestID names the header that carries a request's id.
-const requestID = "X-Request-Id"
+// requestIDHeader is the header with the id of a request.
+const requestIDHeader = "X-Request-Id"
 
-// Handler returns the handler of all that the front serves.
+// Handler returns the handler for all paths of the front.
 func (f *Front) Handler() http.Handler {
 	r := mux.NewRouter()
-	r.HandleFunc("/v1/calls", f.answer("call", f.call)).Methods(http.MethodPost)
-	r.HandleFunc("/v1/jobs", f.answer("submit", f.submit)).Methods(http.MethodPost)
-	r.HandleFunc("/v1/jobs", f.answer("jobs", f.list)).Methods(http.MethodGet)
-	r.HandleFunc("/v1/jobs/{id}", f.answer("job", f.job)).Methods(http.MethodGet)
-	r.HandleFunc("/v1/jobs/{id}", f.answer("cancel", f.cancel)).Methods(http.MethodDelete)
-	r.HandleFunc("/v1/tree", f.answer("tree", f.tree)).Methods(http.MethodGet)
-	r.HandleFunc("/v1/tree/log", f.answer("tree-log", f.treeLog)).Methods(http.MethodGet)
-	r.HandleFunc("/v1/tree/edits", f.answer("tree-edit", f.treeEdit)).Methods(http.MethodPost)
-	r.HandleFunc("/v1/tree/check", f.answer("tree-check", f.treeCheck)).Methods(http.MethodPost)
-	r.HandleFunc("/v1/workloads", f.answer("workloads", f.workloads)).Methods(http.MethodGet)
-	r.HandleFunc("/v1/workloads/{path:.+}", f.answer("workload", f.workload)).Methods(http.MethodGet)
-	r.HandleFunc("/v1/status", f.answer("status", f.status)).Methods(http.MethodGet)
+	r.HandleFunc("/v1/calls", f.wrap("call", f.call)).Methods(http.MethodPost)
+	r.HandleFunc("/v1/jobs", f.wrap("submit", f.submit)).Methods(http.MethodPost)
+	r.HandleFunc("/v1/jobs", f.wrap("jobs", f.list)).Methods(http.MethodGet)
+	r.HandleFunc("/v1/jobs/{id}", f.wrap("job", f.job)).Methods(http.MethodGet)
+	r.HandleFunc("/v1/jobs/{id}", f.wrap("cancel", f.cancel)).Methods(http.MethodDelete)
+	r.HandleFunc("/v1/tree", f.wrap("tree", f.tree)).Methods(http.MethodGet)
+	r.HandleFunc("/v1/tree/log", f.wrap("tree-log", f.treeLog)).Methods(http.MethodGet)
+	r.HandleFunc("/v1/tree/edits", f.wrap("tree-edit", f.treeEdit)).Methods(http.MethodPost)
+	r.HandleFunc("/v1/tree/check", f.wrap("tree-check", f.treeCheck)).Methods(http.MethodPost)
+	r.HandleFunc("/v1/workloads", f.wrap("workloads", f.workloads)).Methods(http.MethodGet)
+	r.HandleFunc("/v1/workloads/{path:.+}", f.wrap("workload", f.workload)).Methods(http.MethodGet)
+	r.HandleFunc("/v1/status", f.wrap("status", f.status)).Methods(http.MethodGet)
 	r.HandleFunc("/healthz", f.healthz)
 	r.HandleFunc("/readyz", f.readyz)
 	if f.Metrics != nil {
@@ -109,8 +109,8 @@
 	if h := fault.Handler(); h != nil {
 		r.Handle("/debug/faults", h)
 	}
-	r.NotFoundHandler = f.answer("none", f.nothing)
-	r.MethodNotAllowedHandler = f.answer("none", f.nothing)
+	r.NotFoundHandler = f.wrap("none", f.notFound)
+	r.MethodNotAllowedHandler = f.wrap("none", f.notFound)
 	return r
 }
 
@@ -127,39 +127,40 @@
 	}
 }
 
-// response is what a handler answers when there is no error.
+// response is the successful result of a handler.
 type response struct {
 	status int
 	body   any
 }
 
+// ok returns a response with status 200.
 func ok(body any) (*response, error) { return &response{status: http.StatusOK, body: body}, nil }
 
 type handler func(r *http.Request) (*response, error)
 
-// answer turns a handler into one of net/http: it gives the request its id and
-// span, and writes the answer, the metrics and the log line.
-func (f *Front) answer(name string, h handler) http.HandlerFunc {
+// wrap makes an http.HandlerFunc of a handler. It assigns the request its id and
+// span, writes the response, logs server errors, and records metrics.
+func (f *Front) wrap(name string, h handler) http.HandlerFunc {
 	scope := f.Scope.Tagged(map[string]string{"op": name})
 	return func(w http.ResponseWriter, r *http.Request) {
 		f.inflight.Add(1)
 		defer f.inflight.Done()
 		began := time.Now()
-		id := r.Header.Get(requestID)
-		if id == "" || !word(id, 64, "._-") {
+		id := r.Header.Get(requestIDHeader)
+		if id == "" || !isToken(id, 64, "._-") {
 			id = uid.New()
 		}
 		ctx := telemetry.ExtractHTTP(r.Context(), r.Header)
 		ctx, span := f.Tracer.Start(ctx, "front."+name)
 		span.SetAttributes(attribute.String("dewpass.request", id))
 		r = r.WithContext(ctx)
-		w.Header().Set(requestID, id)
+		w.Header().Set(requestIDHeader, id)
 		resp, err := h(r)
 		telemetry.Fail(span, err)
 		if err != nil {
-			f.fail(w, id, name, err)
+			f.writeError(w, id, name, err)
 		} else {
-			write(w, resp.status, resp.body)
+			writeJSON(w, resp.status, resp.body)
 		}
 		scope.Timer("request").Record(time.Since(began))
 	}
@@ -173,19 +174,20 @@
 	Path    string `json:"path,omitempty"`
 	// Outcome is "not_run", "unknown" or "ran".
 	Outcome string `json:"outcome"`
-	// Retry says whether the same request may be sent again.
+	// Retry is set if the same request may be sent again.
 	Retry bool `json:"retry"`
-	// RetryAfterMS is when to come back.
+	// RetryAfterMS is the time after which to retry, in milliseconds.
 	RetryAfterMS int64 `json:"retry_after_ms"`
-	// ID is the id to ask for later.
+	// ID is the id by which to ask for the outcome later.
 	ID      string `json:"id,omitempty"`
 	Request string `json:"request"`
 }
 
-// defaultRetryAfter is told where nothing better is known.
+// defaultRetryAfter applies if an error has no retry time of its own.
 const defaultRetryAfter = time.Second
 
-func (f *Front) fail(w http.ResponseWriter, id, name string, err error) {
+// writeError answers a request with a Failure.
+func (f *Front) writeError(w http.ResponseWriter, id, name string, err error) {
 	e := kind.Of(err)
 	row := e.Kind.Row()
 	f.Scope.Tagged(map[string]string{"op": name, "kind": row.Name}).Counter("failures").Inc(1)
@@ -196,17 +198,17 @@
 	if after == 0 {
 		after = defaultRetryAfter
 	}
-	// Callers that were refused together should not come back together.
+	// Jitter keeps callers that were refused together from retrying together.
 	after += time.Duration(rand.Int64N(int64(after)/4 + 1))
 	w.Header().Set("Retry-After", strconv.Itoa(int(math.Ceil(after.Seconds()))))
-	write(w, row.Status, Failure{
+	writeJSON(w, row.Status, Failure{
 		Kind: row.Name, Message: row.Message, Detail: e.Detail, Path: e.Path,
 		Outcome: e.Outcome.String(), Retry: row.Retry && e.Outcome == kind.NotRun,
 		RetryAfterMS: after.Milliseconds(), ID: e.ID, Request: id,
 	})
 }
 
-func write(w http.ResponseWriter, status int, body any) {
+func writeJSON(w http.ResponseWriter, status int, body any) {
 	raw, err := json.Marshal(body)
 	if err != nil {
 		status, raw = http.StatusInternalServerError, []byte(`{"kind":"internal"}`)
@@ -217,16 +219,16 @@
 	_, _ = w.Write(raw)
 }
 
-func (f *Front) nothing(r *http.Request) (*response, error) {
+func (f *Front) notFound(r *http.Request) (*response, error) {
 	return nil, kind.At(kind.NotFound, r.URL.Path, r.Method)
 }
 
-func (f *Front) healthz(w http.ResponseWriter, _ *http.Request) { write(w, http.StatusOK, "ok") }
+func (f *Front) healthz(w http.ResponseWriter, _ *http.Request) { writeJSON(w, http.StatusOK, "ok") }
 
 func (f *Front) readyz(w http.ResponseWriter, _ *http.Request) {
 	if f.Ready() {
-		write(w, http.StatusOK, "ready")
+		writeJSON(w, http.StatusOK, "ready")
 		return
 	}
-	write(w, http.StatusServiceUnavailable, "not ready")
+	writeJSON(w, http.StatusServiceUnavailable, "not ready")
 }
--- a/front/jobs.go
+++ b/front/jobs.go
@@ -24,15 +24,15 @@
 )
 
 const (
-	submitTries  = 4
-	submitTime   = 4 * time.Second
-	defaultLimit = 100
-	maxLimit     = 1000
-	jobRows      = "job/"
-	// maxWait bounds how long the answer to a question for a job is held back.
+	maxSubmitAttempts = 4
+	submitTimeout     = 4 * time.Second
+	defaultPageSize   = 100
+	maxPageSize       = 1000
+	jobRowPrefix      = "job/"
+	// maxWait bounds the wait of a query for the end of a job.
 	maxWait = 30 * time.Second
-	// replyTime is what a reply may take beyond the time that it was held.
-	replyTime = time.Second
+	// replyMargin is the time that a reply may take in addition to the wait.
+	replyMargin = time.Second
 )
 
 func (f *Front) submit(r *http.Request) (*response, error) {
@@ -48,19 +48,19 @@
 	if err := f.refusals.check(req); err != nil {
 		return nil, err
 	}
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(r.Context()), submitTime)
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(r.Context()), submitTimeout)
 	defer cancel()
-	row, err := f.accept(ctx, req, w)
+	row, err := f.acceptJob(ctx, req, w)
 	if err != nil {
 		return nil, err
 	}
-	return &response{status: http.StatusAccepted, body: shown(row)}, nil
+	return &response{status: http.StatusAccepted, body: publicView(row)}, nil
 }
 
-// accept admits a job and has it written down.
-func (f *Front) accept(ctx context.Context, req *request, w *tree.Workload) (job.Job, error) {
+// acceptJob admits a job and has the owner of a rack write it to the table.
+func (f *Front) acceptJob(ctx context.Context, req *request, w *tree.Workload) (job.Job, error) {
 	row := f.newJob(req, w, clock.Wall())
-	err := f.limits.allow(w, f.instances())
+	err := f.rates.allow(w, f.instances())
 	if err == nil {
 		fault.At(fault.Admitted)
 		row, err = f.Place(ctx, row, w)
@@ -69,7 +69,7 @@
 		return row, err
 	}
 	if kind.Is(err, kind.Conflict) {
-		return f.earlier(ctx, req, job.RequestDigest(req.Workload, req.Payload), err)
+		return f.findByKey(ctx, req, job.RequestDigest(req.Workload, req.Payload), err)
 	}
 	return f.settleKeyed(ctx, req, err)
 }
@@ -94,39 +94,39 @@
 	return row
 }
 
-// Place has a job written down by the owner of a rack. The hall of this
-// instance is its home, unless none of its racks can take it.
+// Place submits a job to the owner of a rack, which writes it to the table. It
+// prefers racks of this hall to those of others.
 func (f *Front) Place(ctx context.Context, row job.Job, w *tree.Workload) (job.Job, error) {
 	now := clock.Now()
-	list := order(f.places(f.Hall, now), w.Demand)
-	list = append(list, order(f.places("", now), w.Demand)...)
-	var last error = kind.New(kind.NoCapacity, "no owner can be reached")
-	for i := 0; i < len(list) && i < submitTries; i++ {
+	list := orderByTwoChoices(f.candidates(f.Hall, now), w.Demand)
+	list = append(list, orderByTwoChoices(f.candidates("", now), w.Demand)...)
+	var lastErr error = kind.New(kind.NoCapacity, "no owner can be reached")
+	for i := 0; i < len(list) && i < maxSubmitAttempts; i++ {
 		row.Hall = list[i].hall
 		row.Rack = bestRack(list[i], w)
 		out, err := f.submitTo(ctx, list[i], row)
-		if err == nil || !passedBy(err) {
+		if err == nil || !mayTryNext(err) {
 			return out, err
 		}
-		last = err
+		lastErr = err
 	}
-	return row, last
+	return row, lastErr
 }
 
-// Elsewhere returns another rack on which a demand fits now: of this hall, or
-// else of another one. It is asked by the owner of the full rack, whose own
-// summaries it is given.
-func (f *Front) Elsewhere(own []*wire.Rack, d sched.Vec, not string) (hallName, rack string, ok bool) {
-	list := []place{{hall: f.Hall, racks: own}}
+// FindRackElsewhere returns another rack with room for a demand, in this hall if
+// possible. It is called by the owner of the rack without room, which passes the
+// summaries of its own racks.
+func (f *Front) FindRackElsewhere(own []*wire.Rack, d sched.Vec, exclude string) (hallName, rack string, ok bool) {
+	list := []candidate{{hall: f.Hall, racks: own}}
 	for _, p := range f.Peers.Live("", clock.Now()) {
 		if !p.Leaving {
-			list = append(list, place{hall: p.Hall, racks: p.Racks})
+			list = append(list, candidate{hall: p.Hall, racks: p.Racks})
 		}
 	}
 	sort.SliceStable(list, func(i, j int) bool { return list[i].hall == f.Hall && list[j].hall != f.Hall })
 	for _, p := range list {
 		for _, r := range p.racks {
-			if r.Rack != not && r.Ready && fits(r, d) {
+			if r.Rack != exclude && r.Ready && fits(r, d) {
 				return p.hall, r.Rack, true
 			}
 		}
@@ -134,9 +134,9 @@
 	return "", "", false
 }
 
-// Tell tells the owner of a job's rack that the job was moved there. If that
-// fails, the owner finds it in the index of the rack.
-func (f *Front) Tell(ctx context.Context, row job.Job, version uint64) error {
+// NotifyMoved tells the owner of a job's rack that the job was moved there. If that
+// fails, the owner finds the job in the index of the rack.
+func (f *Front) NotifyMoved(ctx context.Context, row job.Job, version uint64) error {
 	peer, err := f.ownerOf(row)
 	if err != nil {
 		return err
@@ -146,15 +146,15 @@
 	return err
 }
 
-// OwnRack returns the rack of this instance that can best take a workload.
-func (f *Front) OwnRack(w *tree.Workload) (string, bool) {
-	rack := bestRack(place{racks: f.Owner.Summary()}, w)
+// BestOwnRack returns the rack of this instance that is best for a workload.
+func (f *Front) BestOwnRack(w *tree.Workload) (string, bool) {
+	rack := bestRack(candidate{racks: f.Owner.Summary()}, w)
 	return rack, rack != ""
 }
 
-// bestRack returns the rack of a place with the most free slots, preferring
-// those where the job fits now.
-func bestRack(p place, w *tree.Workload) string {
+// bestRack returns the rack of a candidate with the most free slots, preferring
+// racks where the job fits now.
+func bestRack(p candidate, w *tree.Workload) string {
 	best, most := "", int64(-1)
 	for _, r := range p.racks {
 		if !r.Ready {
@@ -171,7 +171,8 @@
 	return best
 }
 
-func (f *Front) submitTo(ctx context.Context, p place, row job.Job) (job.Job, error) {
+// submitTo submits a job to the owner of its rack.
+func (f *Front) submitTo(ctx context.Context, p candidate, row job.Job) (job.Job, error) {
 	if p.self {
 		return f.Owner.Submit(ctx, row)
 	}
@@ -186,17 +187,17 @@
 	return job.Decode(reply.GetJob().GetRow())
 }
 
-// now is a context that waits for nothing.
-func now(ctx context.Context) context.Context {
+// cancelledContext returns a cancelled copy of ctx, for queries that must not wait.
+func cancelledContext(ctx context.Context) context.Context {
 	ctx, cancel := context.WithCancel(ctx)
 	cancel()
 	return ctx
 }
 
-// find returns a job by its id: from the table, or from a peer while the table
-// cannot be asked.
-func (f *Front) find(ctx context.Context, id string) (job.Job, error) {
-	if row, ok := f.Owner.Job(now(ctx), id); ok {
+// findJob returns a job by its id: from the local owner, from the table, or from a
+// peer while the table cannot be reached.
+func (f *Front) findJob(ctx context.Context, id string) (job.Job, error) {
+	if row, ok := f.Owner.Job(cancelledContext(ctx), id); ok {
 		return row, nil
 	}
 	rows, err := f.Table.Get(ctx, job.RowKey(id))
@@ -207,14 +208,15 @@
 		return job.Decode(rows[0].Value)
 	}
 	for _, p := range f.Peers.Live(f.Hall, clock.Now()) {
-		if row, asked := f.ask(ctx, p.Addr, &wire.JobQuery{Id: id}); asked == nil {
+		if row, queryErr := f.queryPeer(ctx, p.Addr, &wire.JobQuery{Id: id}); queryErr == nil {
 			return row, nil
 		}
 	}
 	return job.Job{}, err
 }
 
-func (f *Front) ask(ctx context.Context, addr string, q *wire.JobQuery) (job.Job, error) {
+// queryPeer sends a job query to a peer.
+func (f *Front) queryPeer(ctx context.Context, addr string, q *wire.JobQuery) (job.Job, error) {
 	reply, err := f.Send.Do(ctx, addr, &wire.Request{Body: &wire.Request_Job{Job: q}})
 	if err != nil {
 		return job.Job{}, err
@@ -222,8 +224,8 @@
 	return job.Decode(reply.GetJob().GetRow())
 }
 
-// whole fetches an answer that is kept in the object store.
-func (f *Front) whole(ctx context.Context, row job.Job) (job.Job, error) {
+// loadAnswer completes a job whose answer is in the object store.
+func (f *Front) loadAnswer(ctx context.Context, row job.Job) (job.Job, error) {
 	if row.AnswerObject == "" || row.Answer == nil {
 		return row, nil
 	}
@@ -240,33 +242,33 @@
 	return row, nil
 }
 
-// shown leaves out what only concerns the owner.
-func shown(row job.Job) job.Job {
+// publicView returns a job without the fields that are internal to the owner.
+func publicView(row job.Job) job.Job {
 	row.Incarnation = ""
 	row.Payload = nil
 	return row
 }
 
 func (f *Front) job(r *http.Request) (*response, error) {
-	wait, err := waitOf(r)
+	wait, err := parseWait(r)
 	if err != nil {
 		return nil, err
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), wait)
 	defer cancel()
-	row, err := f.until(ctx, mux.Vars(r)["id"])
+	row, err := f.waitForJob(ctx, mux.Vars(r)["id"])
 	if err != nil {
 		return nil, err
 	}
-	row, err = f.whole(r.Context(), row)
+	row, err = f.loadAnswer(r.Context(), row)
 	if err != nil {
 		return nil, err
 	}
-	return ok(shown(row))
+	return ok(publicView(row))
 }
 
-// waitOf reads how long the caller lets the answer be held back.
-func waitOf(r *http.Request) (time.Duration, error) {
+// parseWait returns how long the caller is willing to wait for the end of a job.
+func parseWait(r *http.Request) (time.Duration, error) {
 	s := r.URL.Query().Get("wait")
 	if s == "" {
 		return 0, nil
@@ -283,23 +285,23 @@
 	if err != nil {
 		return nil, err
 	}
-	return &response{status: http.StatusAccepted, body: shown(row)}, nil
+	return &response{status: http.StatusAccepted, body: publicView(row)}, nil
 }
 
-// Cancel asks the owner of a job's rack to end it.
+// Cancel asks the owner of a job's rack to cancel the job.
 func (f *Front) Cancel(ctx context.Context, id string) (job.Job, error) {
-	row, err := f.find(ctx, id)
+	row, err := f.findJob(ctx, id)
 	if err != nil || row.State.Over() {
 		return row, err
 	}
-	if _, here := f.Owner.Job(now(ctx), id); here {
+	if _, here := f.Owner.Job(cancelledContext(ctx), id); here {
 		return f.Owner.Cancel(id)
 	}
 	peer, err := f.ownerOf(row)
 	if err != nil {
 		return row, err
 	}
-	return f.ask(ctx, peer.Addr, &wire.JobQuery{Id: id, Rack: row.Rack, Cancel: true})
+	return f.queryPeer(ctx, peer.Addr, &wire.JobQuery{Id: id, Rack: row.Rack, Cancel: true})
 }
 
 // ownerOf returns the peer that owns the rack of a job.
@@ -312,43 +314,43 @@
 	return peer, nil
 }
 
-// until returns a job once it is over, or as it stands when ctx ends. Its
-// owner holds the question, so that nobody has to ask again and again.
-func (f *Front) until(ctx context.Context, id string) (job.Job, error) {
+// waitForJob returns a job once it is over, or its present state when ctx ends. The
+// owner delays its reply until then, so that nobody has to poll.
+func (f *Front) waitForJob(ctx context.Context, id string) (job.Job, error) {
 	if row, ok := f.Owner.Job(ctx, id); ok {
 		return row, nil
 	}
-	asking := context.WithoutCancel(ctx)
-	row, err := f.find(asking, id)
+	detached := context.WithoutCancel(ctx)
+	row, err := f.findJob(detached, id)
 	if err != nil || row.State.Over() {
 		return row, err
 	}
 	deadline, _ := ctx.Deadline()
-	left := time.Until(deadline)
-	if peer, gone := f.ownerOf(row); gone == nil && left > 0 {
-		q := &wire.JobQuery{Id: id, Rack: row.Rack, WaitMs: left.Milliseconds()}
-		asking, cancel := context.WithTimeout(asking, left+replyTime)
+	remaining := time.Until(deadline)
+	if peer, ownerErr := f.ownerOf(row); ownerErr == nil && remaining > 0 {
+		q := &wire.JobQuery{Id: id, Rack: row.Rack, WaitMs: remaining.Milliseconds()}
+		queryCtx, cancel := context.WithTimeout(detached, remaining+replyMargin)
 		defer cancel()
-		if row, err := f.ask(asking, peer.Addr, q); err == nil {
+		if row, err := f.queryPeer(queryCtx, peer.Addr, q); err == nil {
 			return row, nil
 		}
 	}
-	return f.find(asking, id)
+	return f.findJob(detached, id)
 }
 
-// JobList is the body of a list of jobs.
+// JobList is one page of jobs.
 type JobList struct {
 	Jobs []job.Job `json:"jobs"`
-	// After is where the next page begins, "" at the end.
+	// After is the id after which the next page begins, "" on the last page.
 	After string `json:"after,omitempty"`
 }
 
 func (f *Front) list(r *http.Request) (*response, error) {
 	q := r.URL.Query()
-	limit := defaultLimit
+	limit := defaultPageSize
 	if s := q.Get("limit"); s != "" {
 		n, err := strconv.Atoi(s)
-		if err != nil || n < 1 || n > maxLimit {
+		if err != nil || n < 1 || n > maxPageSize {
 			return nil, kind.At(kind.BadRequest, "?limit", "must be from 1 to 1000")
 		}
 		limit = n
@@ -356,10 +358,10 @@
 	var out JobList
 	after := ""
 	if a := q.Get("after"); a != "" {
-		after = jobRows + a
+		after = jobRowPrefix + a
 	}
 	for len(out.Jobs) < limit {
-		rows, err := f.Table.Scan(r.Context(), jobRows, after, maxLimit)
+		rows, err := f.Table.Scan(r.Context(), jobRowPrefix, after, maxPageSize)
 		if err != nil {
 			return nil, err
 		}
@@ -372,13 +374,13 @@
 			if err != nil || !matches(row, q.Get("state"), q.Get("workload")) {
 				continue
 			}
-			out.Jobs = append(out.Jobs, shown(row))
+			out.Jobs = append(out.Jobs, publicView(row))
 			if len(out.Jobs) == limit {
 				break
 			}
 		}
 	}
-	out.After = strings.TrimPrefix(after, jobRows)
+	out.After = strings.TrimPrefix(after, jobRowPrefix)
 	return ok(out)
 }
 
--- a/front/operator.go
+++ b/front/operator.go
@@ -21,18 +21,18 @@
 	"dewpass.org/wire"
 )
 
-const logLimit = 200
+const treeLogPageSize = 200
 
-// TreeView is the body of the answer to a question for the tree.
+// TreeView is the answer to a query for the tree or a part of it.
 type TreeView struct {
 	Version uint64          `json:"version"`
 	Path    string          `json:"path,omitempty"`
 	Value   json.RawMessage `json:"value"`
 }
 
-// tree answers with the tree as it stands in the table, or with the one in
-// force here while the table cannot be asked. ?in-force=1 asks for the one in
-// force, ?from=table for the one in the table or an error.
+// tree answers with the tree in the table, or with the one in force here if the
+// table cannot be reached. ?in-force=1 asks for the one in force, ?from=table for
+// the one in the table or an error.
 func (f *Front) tree(r *http.Request) (*response, error) {
 	p, err := tree.ParsePath(r.URL.Query().Get("path"))
 	if err != nil {
@@ -64,7 +64,7 @@
 	if err != nil {
 		return nil, kind.At(kind.BadRequest, "?after", "must be a version")
 	}
-	entries, err := f.Store.Log(r.Context(), after, logLimit)
+	entries, err := f.Store.Log(r.Context(), after, treeLogPageSize)
 	if err != nil {
 		return nil, err
 	}
@@ -127,7 +127,7 @@
 	return ok(w)
 }
 
-// Status is the body of the answer to a question for the state of the cell.
+// Status is the answer to a query for the state of all halls.
 type Status struct {
 	Instance    string           `json:"instance"`
 	Hall        string           `json:"hall"`
@@ -137,7 +137,7 @@
 	Racks       []RackStatus     `json:"racks"`
 }
 
-// InstanceStatus is what is known of an instance.
+// InstanceStatus is the state of an instance.
 type InstanceStatus struct {
 	Instance    string `json:"instance"`
 	Hall        string `json:"hall"`
@@ -147,7 +147,7 @@
 	Racks       int    `json:"racks"`
 }
 
-// RackStatus is what is known of a rack.
+// RackStatus is the state of a rack.
 type RackStatus struct {
 	Rack     string  `json:"rack"`
 	Hall     string  `json:"hall"`
@@ -158,29 +158,28 @@
 	Running  uint32  `json:"running"`
 	Queued   uint32  `json:"queued"`
 	Used     float64 `json:"used"`
-	// WaitMS is how long bulk work that came now would wait at the owner, in
-	// milliseconds.
+	// WaitMS is how long new bulk work would wait at the owner, in milliseconds.
 	WaitMS uint32 `json:"wait_ms"`
 }
 
 func (f *Front) status(r *http.Request) (*response, error) {
 	s := f.HallStatus()
-	ctx, cancel := context.WithTimeout(r.Context(), statusTime)
+	ctx, cancel := context.WithTimeout(r.Context(), statusTimeout)
 	defer cancel()
 	for _, h := range f.Peers.Halls(clock.Now()) {
 		if h != f.Hall {
-			s.merge(f.askHall(ctx, h))
+			s.merge(f.queryHall(ctx, h))
 		}
 	}
 	s.sort()
 	return ok(s)
 }
 
-// statusTime bounds how long other halls are asked.
-const statusTime = 2 * time.Second
+// statusTimeout bounds the time for querying other halls.
+const statusTimeout = 2 * time.Second
 
-// askHall asks one live peer of a hall for what it knows of that hall.
-func (f *Front) askHall(ctx context.Context, hall string) Status {
+// queryHall returns the state of a hall as one of its live peers knows it.
+func (f *Front) queryHall(ctx context.Context, hall string) Status {
 	for _, p := range f.Peers.Live(hall, clock.Now()) {
 		req := &wire.Request{Body: &wire.Request_Status{Status: &wire.StatusQuery{}}}
 		reply, err := f.Send.Do(ctx, p.Addr, req)
@@ -200,7 +199,7 @@
 	s.Racks = append(s.Racks, o.Racks...)
 }
 
-// HallStatus returns what this instance knows of its hall.
+// HallStatus returns the state of this hall as known to this instance.
 func (f *Front) HallStatus() Status {
 	now := clock.Now()
 	s := Status{
@@ -231,13 +230,13 @@
 			Rack: r.Rack, Hall: in.Hall, Owner: in.Instance,
 			Epoch:   lease.Epoch{Table: r.EpochTable, Local: r.EpochLocal}.String(),
 			Workers: r.Workers, Attached: r.Attached, Running: r.Running, Queued: r.Queued,
-			Used: used(r), WaitMS: r.WaitMs,
+			Used: utilization(r), WaitMS: r.WaitMs,
 		})
 	}
 }
 
-// used returns the share of the scarcest resource of a rack that is given out.
-func used(r *wire.Rack) float64 {
+// utilization returns the used share of a rack's scarcest resource, from 0 to 1.
+func utilization(r *wire.Rack) float64 {
 	var most float64
 	for i := range r.Capacity {
 		if i < len(r.Free) && r.Capacity[i] > 0 {
--- a/front/refusal.go
+++ b/front/refusal.go
@@ -20,80 +20,84 @@
 )
 
 const (
-	// maxRefusals bounds the refusals that are remembered while the table
-	// cannot be written. Beyond it the outcome is unknown.
-	maxRefusals = 10000
-	refuseTime  = time.Second
-	flushEvery  = time.Second
-	// spreadMost bounds the refusals in one hello.
-	spreadMost = 64
-	// keepWritten is longer than any peer tells of a refusal that is written.
-	keepWritten = 5 * time.Minute
+	// maxRefusals bounds the refusals held in memory while the table cannot be
+	// written. Beyond it, the outcome of a refused request is unknown.
+	maxRefusals    = 10000
+	refusalTimeout = time.Second
+	flushInterval  = time.Second
+	// maxRefusalsPerHello bounds the refusals in one hello.
+	maxRefusalsPerHello = 64
+	// writtenRetention is longer than any peer still announces a refusal that has
+	// been written.
+	writtenRetention = 5 * time.Minute
 )
 
-// refusals are the keyed requests that were refused while the table could not
+// refusals holds the requests with a key that were refused while the table could not
 // be written.
 type refusals struct {
-	mu  sync.Mutex
-	set map[refusal]string
-	// written holds those that this instance has written, and when, because
-	// peers may still tell of them.
-	written map[refusal]time.Time
+	mu sync.Mutex
+	// pending maps a refused key to the digest of its request.
+	pending map[refusedKey]string
+	// written holds the refusals that this instance has written, with the time, since
+	// peers may still announce them.
+	written map[refusedKey]time.Time
 }
 
-type refusal struct{ shop, key string }
+// refusedKey identifies a refused request.
+type refusedKey struct{ shop, key string }
 
-func (s *refusals) add(r refusal, digest string) bool {
+// add records a refusal. It returns false if the limit is reached.
+func (s *refusals) add(r refusedKey, digest string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.set == nil {
-		s.set = make(map[refusal]string)
+	if s.pending == nil {
+		s.pending = make(map[refusedKey]string)
 	}
 	if _, ok := s.written[r]; ok {
 		return true
 	}
-	if len(s.set) >= maxRefusals {
+	if len(s.pending) >= maxRefusals {
 		return false
 	}
-	s.set[r] = digest
+	s.pending[r] = digest
 	return true
 }
 
-// wrote notes that a refusal is in the table.
-func (s *refusals) wrote(r refusal, now time.Time) {
+// markWritten records that a refusal is in the table.
+func (s *refusals) markWritten(r refusedKey, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.set, r)
+	delete(s.pending, r)
 	if s.written == nil {
-		s.written = make(map[refusal]time.Time)
+		s.written = make(map[refusedKey]time.Time)
 	}
 	s.written[r] = now
 	for old, at := range s.written {
-		if now.Sub(at) > keepWritten {
+		if now.Sub(at) > writtenRetention {
 			delete(s.written, old)
 		}
 	}
 }
 
-// check refuses a request whose key was refused before.
+// check returns an error for a request whose key was refused.
 func (s *refusals) check(req *request) error {
 	if req.Key == "" {
 		return nil
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if _, ok := s.set[refusal{req.Shop, req.Key}]; ok {
+	if _, ok := s.pending[refusedKey{req.Shop, req.Key}]; ok {
 		return kind.New(kind.Cancelled, "this key was refused before")
 	}
 	return nil
 }
 
-// some returns up to n refusals.
-func (s *refusals) some(n int) []*wire.Refusal {
+// first returns up to n pending refusals, in no particular order.
+func (s *refusals) first(n int) []*wire.Refusal {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var out []*wire.Refusal
-	for r, digest := range s.set {
+	for r, digest := range s.pending {
 		if len(out) == n {
 			break
 		}
@@ -102,44 +106,45 @@
 	return out
 }
 
-// Refusals returns what peers are told of refusals that are not written yet.
-func (f *Front) Refusals() []*wire.Refusal { return f.refusals.some(spreadMost) }
+// Refusals returns pending refusals for a hello to peers.
+func (f *Front) Refusals() []*wire.Refusal { return f.refusals.first(maxRefusalsPerHello) }
 
-// HeardRefusals takes in the refusals of a peer. They are written by whoever
-// reaches the table first.
-func (f *Front) HeardRefusals(list []*wire.Refusal) {
+// AddRefusals records the refusals from a peer's hello. The first instance that
+// reaches the table writes them.
+func (f *Front) AddRefusals(list []*wire.Refusal) {
 	for _, r := range list {
-		f.refusals.add(refusal{r.Shop, r.Key}, r.Digest)
+		f.refusals.add(refusedKey{r.Shop, r.Key}, r.Digest)
 	}
 }
 
-// settleKeyed decides what may be said of a keyed request that got no result.
-// It returns the row of an earlier try if there is one, or the error to
-// answer. The error says not_run only if the key was closed.
+// settleKeyed decides the answer to a request with a key that got no result. It
+// returns the row of an earlier request with the key if there is one, or else the
+// error to answer with. The error says not_run only if the key was closed.
 func (f *Front) settleKeyed(ctx context.Context, req *request, cause error) (job.Job, error) {
 	e := kind.Of(cause)
 	if e.Outcome != kind.NotRun {
 		return job.Job{}, cause
 	}
 	digest := job.RequestDigest(req.Workload, req.Payload)
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), refuseTime)
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), refusalTimeout)
 	defer cancel()
-	_, err := f.Journal.Commit(ctx, f.closing(req, digest, e.Kind.String()))
+	_, err := f.Journal.Commit(ctx, f.closeKeyChange(req, digest, e.Kind.String()))
 	switch {
 	case err == nil:
 		return job.Job{}, cause
 	case kind.Is(err, kind.Conflict):
-		return f.earlier(ctx, req, digest, cause)
-	case req.FirstTry && kind.Is(err, kind.Unavailable) && f.refusals.add(refusal{req.Shop, req.Key}, digest):
+		return f.findByKey(ctx, req, digest, cause)
+	case req.FirstTry && kind.Is(err, kind.Unavailable) && f.refusals.add(refusedKey{req.Shop, req.Key}, digest):
 		return job.Job{}, cause
 	}
-	unknown := kind.Wrap(e.Kind, cause, "and the table cannot be asked about earlier tries")
+	unknown := kind.Wrap(e.Kind, cause, "and the table cannot be read for earlier requests with the key")
 	unknown.RetryAfter = e.RetryAfter
 	return job.Job{}, unknown.Uncertain("")
 }
 
-// closing is the change that closes a key, for as long as keys are kept.
-func (f *Front) closing(req *request, digest, why string) commit.Change {
+// closeKeyChange returns the change that closes a key until the retention time of
+// keys is over.
+func (f *Front) closeKeyChange(req *request, digest, why string) commit.Change {
 	key := job.KeyRow(req.Shop, req.Key)
 	value := job.Encode(job.Key{Digest: digest, Refused: true, Why: why})
 	keep := tree.DefaultKeep
@@ -153,11 +158,12 @@
 	}
 }
 
-// earlier returns the row of the request that first came with the key.
-func (f *Front) earlier(ctx context.Context, req *request, digest string, cause error) (job.Job, error) {
+// findByKey returns the row of the first request with the key, or cause if the key
+// is not in the table.
+func (f *Front) findByKey(ctx context.Context, req *request, digest string, cause error) (job.Job, error) {
 	rows, err := f.Table.Get(ctx, job.KeyRow(req.Shop, req.Key))
 	if err != nil {
-		return job.Job{}, kind.Wrap(kind.Of(err).Kind, err, "earlier tries cannot be asked for").Uncertain("")
+		return job.Job{}, kind.Wrap(kind.Of(err).Kind, err, "cannot look up earlier requests with the key").Uncertain("")
 	}
 	if rows[0].Version == 0 {
 		return job.Job{}, cause
@@ -172,45 +178,46 @@
 	case key.Refused:
 		return job.Job{}, kind.New(kind.Cancelled, "this key was refused before: "+key.Why)
 	}
-	return f.find(ctx, key.ID)
+	return f.findJob(ctx, key.ID)
 }
 
-// Flush writes the remembered refusals until ctx ends.
-func (f *Front) Flush(ctx context.Context) {
-	t := time.NewTicker(flushEvery)
+// FlushRefusals writes pending refusals to the table until ctx ends.
+func (f *Front) FlushRefusals(ctx context.Context) {
+	t := time.NewTicker(flushInterval)
 	defer t.Stop()
 	for {
 		select {
 		case <-t.C:
-			f.flush(ctx)
+			f.flushOnce(ctx)
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-func (f *Front) flush(ctx context.Context) {
+// flushOnce writes a batch of pending refusals.
+func (f *Front) flushOnce(ctx context.Context) {
 	if f.CutOff() {
 		return
 	}
-	for _, r := range f.refusals.some(spreadMost) {
+	for _, r := range f.refusals.first(maxRefusalsPerHello) {
 		req := &request{Shop: r.Shop, Key: r.Key}
-		ctx, cancel := context.WithTimeout(ctx, refuseTime)
-		_, err := f.Journal.Commit(ctx, f.closing(req, r.Digest, "refused while the table was out of reach"))
+		ctx, cancel := context.WithTimeout(ctx, refusalTimeout)
+		_, err := f.Journal.Commit(ctx, f.closeKeyChange(req, r.Digest, "refused while the table was out of reach"))
 		cancel()
 		var conflict *commit.Conflict
 		if err != nil && !errors.As(err, &conflict) {
 			return
 		}
-		if err != nil && !refusedRow(conflict) {
-			level.Warn(f.Log).Log("msg", "key was in use after all", "shop", r.Shop, "key", r.Key)
+		if err != nil && !allRefused(conflict) {
+			level.Warn(f.Log).Log("msg", "refused key turned out to be in use", "shop", r.Shop, "key", r.Key)
 		}
-		f.refusals.wrote(refusal{r.Shop, r.Key}, time.Now())
+		f.refusals.markWritten(refusedKey{r.Shop, r.Key}, time.Now())
 	}
 }
 
-// refusedRow reports whether the row that came first is a refusal as well.
-func refusedRow(c *commit.Conflict) bool {
+// allRefused reports whether the rows that a commit conflicts with are refusals as well.
+func allRefused(c *commit.Conflict) bool {
 	for _, r := range c.Rows {
 		if key, err := job.DecodeKey(r.Value); err != nil || !key.Refused {
 			return false
--- a/front/request.go
+++ b/front/request.go
@@ -24,30 +24,30 @@
 
 var requestSchema = schema.MustCompile("request.json", schemaJSON)
 
-// maxBody bounds the body of a request, its payload included.
+// maxBody bounds the size of a request body, payload included.
 const maxBody = 256 << 10
 
-// request is the body of a call or of a job.
+// request is the body of a call or a job.
 type request struct {
 	Workload string `json:"workload"`
 	Shop     string `json:"shop"`
-	// Key makes a retry of the request safe.
+	// Key makes it safe to retry the request.
 	Key string `json:"key"`
-	// Once marks work that must not be repeated.
+	// Once is set for work that must not be repeated.
 	Once bool `json:"once"`
 	// FirstTry is set by a caller that has not sent the key before.
 	FirstTry bool `json:"first_try"`
-	// DeadlineMS is the time that the caller waits for a call, in milliseconds;
-	// nil leaves it to the tree.
+	// DeadlineMS is how long the caller waits for a call, in milliseconds; nil means
+	// the default of the workload.
 	DeadlineMS *int64 `json:"deadline_ms"`
-	// Deadline is when a job should be over.
+	// Deadline is the time by which a job should be over.
 	Deadline *time.Time `json:"deadline"`
-	// Expires is the time after which the request is void.
+	// Expires is the time after which the request must no longer be accepted.
 	Expires *time.Time      `json:"expires"`
 	Payload json.RawMessage `json:"payload"`
 }
 
-// readBody reads a whole JSON body.
+// readBody reads a complete JSON body.
 func readBody(r *http.Request) ([]byte, error) {
 	media, _, err := mime.ParseMediaType(r.Header.Get("Content-Type"))
 	if err != nil || media != "application/json" {
@@ -59,13 +59,12 @@
 		return nil, kind.At(kind.TooLarge, "/", "the body is over 256 KiB")
 	}
 	if err != nil {
-		return nil, kind.At(kind.BadRequest, "/", "the body is cut short")
+		return nil, kind.At(kind.BadRequest, "/", "the body is truncated")
 	}
 	return raw, nil
 }
 
-// decodeRequest reads and checks the body of a call or a job. The schema runs
-// only if the plain decoder finds a fault: it names every fault with its path.
+// decodeRequest reads and validates the body of a call or a job.
 func decodeRequest(r *http.Request) (*request, error) {
 	raw, err := readBody(r)
 	if err != nil {
@@ -74,12 +73,14 @@
 	return parseRequest(raw)
 }
 
+// parseRequest decodes and validates a request. The schema is evaluated only if
+// the fast checks do not accept the request; it reports each fault with its path.
 func parseRequest(raw []byte) (*request, error) {
 	var req request
 	dec := json.NewDecoder(bytes.NewReader(raw))
 	dec.DisallowUnknownFields()
 	err := dec.Decode(&req)
-	if err == nil && !dec.More() && plain(&req) {
+	if err == nil && !dec.More() && quicklyValid(&req) {
 		return &req, nil
 	}
 	if faults := requestSchema.Check(raw); len(faults) > 0 {
@@ -91,20 +92,21 @@
 	return &req, nil
 }
 
-// plain reports whether the fields are within the bounds of the schema beyond
-// doubt.
-func plain(r *request) bool {
+// quicklyValid reports whether the fields certainly satisfy the schema. It may
+// return false for a valid request.
+func quicklyValid(r *request) bool {
 	return r.Workload != "" && len(r.Workload) <= 256 &&
-		r.Shop != "" && word(r.Shop, 64, "._-") &&
-		word(r.Key, 128, "._:-") &&
+		r.Shop != "" && isToken(r.Shop, 64, "._-") &&
+		isToken(r.Key, 128, "._:-") &&
 		(r.DeadlineMS == nil || *r.DeadlineMS > 0 && *r.DeadlineMS <= maxDeadlineMS)
 }
 
-// maxDeadlineMS is a day.
+// maxDeadlineMS is one day.
 const maxDeadlineMS = 24 * 60 * 60 * 1000
 
-// word reports whether s is short and made of letters, digits and a few marks.
-func word(s string, most int, marks string) bool {
+// isToken reports whether s has at most a number of bytes, all of them ASCII
+// letters, digits or one of the marks.
+func isToken(s string, most int, marks string) bool {
 	if len(s) > most {
 		return false
 	}
@@ -118,7 +120,7 @@
 	return true
 }
 
-// bind checks a request against its workload.
+// bind returns the workload of a request after checking the request against it.
 func (r *request) bind(c *tree.Compiled, now time.Time, kinds ...tree.Kind) (*tree.Workload, error) {
 	w, err := c.Lookup(r.Workload)
 	if err != nil {
@@ -136,7 +138,7 @@
 		return nil, kind.At(kind.BadRequest, "/key", "work that must not be repeated needs a key")
 	}
 	if r.Expires != nil && now.After(*r.Expires) {
-		return nil, kind.At(kind.Deadline, "/expires", "the request is void")
+		return nil, kind.At(kind.Deadline, "/expires", "the request has expired")
 	}
 	return w, nil
 }
--- a/front/request_test.go
+++ b/front/request_test.go
@@ -22,7 +22,7 @@
 }
 
 var _ = Describe("a request", func() {
-	DescribeTable("with a fault gets its kind and path",
+	DescribeTable("with a fault is refused with the kind and path of the fault",
 		func(raw string, k kind.Kind, path string) {
 			_, err := parseRequest([]byte(raw))
 			Expect(kind.Of(err).Kind).To(Equal(k))
@@ -41,11 +41,11 @@
 		Entry("a deadline that is no time", `{"workload":"a","shop":"s","deadline":"tomorrow"}`, kind.BadRequest, "/"),
 	)
 
-	It("of the usual shape costs no pass of the schema", func() {
+	It("of the usual form is validated without the schema", func() {
 		for _, raw := range []string{`{"workload":"a","shop":"s"}`, `{"workload":"a","shop":"s","key":"k","deadline_ms":5}`} {
 			var req request
 			Expect(json.Unmarshal([]byte(raw), &req)).To(Succeed())
-			Expect(plain(&req)).To(BeTrue(), raw)
+			Expect(quicklyValid(&req)).To(BeTrue(), raw)
 		}
 	})
 
@@ -59,7 +59,7 @@
 		Expect(kind.Is(err, kind.TooLarge)).To(BeTrue())
 	})
 
-	It("that must not be repeated needs a key, and one that has expired is void", func() {
+	It("is refused if it has expired, or if it must not be repeated and has no key", func() {
 		c := &tree.Compiled{Workloads: map[string]*tree.Workload{"w": {Path: "w", Kind: tree.Call, Repeat: "never"}}}
 		now := time.Now()
 		_, err := (&request{Workload: "w"}).bind(c, now, tree.Call)
@@ -74,21 +74,21 @@
 	})
 })
 
-var _ = Describe("the budget for further tries", func() {
-	It("lets half as many further tries through as first ones, in the long run", func() {
-		var b budget
-		for range budgetMost * 4 {
-			b.first()
-			b.again()
+var _ = Describe("the retry budget", func() {
+	It("admits one retry per two first tries in the long run", func() {
+		var b retryBudget
+		for range maxRetryTokens * 4 {
+			b.addFirstTry()
+			b.takeRetry()
 		}
 		further := 0
 		for range 1000 {
-			b.first()
-			if b.again() {
+			b.addFirstTry()
+			if b.takeRetry() {
 				further++
 			}
 		}
-		Expect(further).To(BeNumerically("~", 1000*budgetPart, 2))
+		Expect(further).To(BeNumerically("~", 1000*retriesPerFirstTry, 2))
 	})
 })
 
@@ -101,7 +101,7 @@
 			t.Fatalf("accepted %q", raw)
 		}
 		if err != nil && kind.Of(err).Outcome != kind.NotRun {
-			t.Fatalf("%v is not said to be not run", err)
+			t.Fatalf("outcome of %v is not not_run", err)
 		}
 	})
 }
--- a/front/route.go
+++ b/front/route.go
@@ -19,8 +19,8 @@
 	"dewpass.org/wire"
 )
 
-// place is an owner with what it says of its racks.
-type place struct {
+// candidate is an owner to which work may be sent, with the summaries of its racks.
+type candidate struct {
 	instance string
 	addr     string
 	hall     string
@@ -29,8 +29,8 @@
 	self bool
 }
 
-// room returns the slots that are free on racks where a demand fits.
-func (p *place) room(d sched.Vec) int64 {
+// freeSlots returns the number of free slots on racks where a demand fits.
+func (p *candidate) freeSlots(d sched.Vec) int64 {
 	var free int64
 	for _, r := range p.racks {
 		if r.Ready && fits(r, d) {
@@ -40,7 +40,7 @@
 	return free
 }
 
-func (p *place) ready() bool {
+func (p *candidate) ready() bool {
 	for _, r := range p.racks {
 		if r.Ready {
 			return true
@@ -49,6 +49,7 @@
 	return false
 }
 
+// fits reports whether a demand is within the largest free amounts of single workers of a rack.
 func fits(r *wire.Rack, d sched.Vec) bool {
 	if len(r.Hole) != int(sched.NumDims) {
 		return false
@@ -61,76 +62,77 @@
 	return true
 }
 
-// view is what a front knew of the owners at a time.
-type view struct {
-	mu   sync.Mutex
-	at   time.Time
-	near []place
-	far  []place
+// candidateCache holds the candidates as of loadedAt.
+type candidateCache struct {
+	mu       sync.Mutex
+	loadedAt time.Time
+	local    []candidate
+	remote   []candidate
 }
 
-// viewTime is how long a view is used. Peers tell of changes less often; an
-// owner that has filled up meanwhile says so.
-const viewTime = 20 * time.Millisecond
+// candidateCacheTTL is how long cached candidates are used. Summaries arrive less
+// often, and an owner that has no room left by then refuses the call.
+const candidateCacheTTL = 20 * time.Millisecond
 
-// seen returns the owners of this hall and those of others, for the caller to
-// order as it likes.
-func (f *Front) seen(now time.Time) (near, far []place) {
-	f.view.mu.Lock()
-	defer f.view.mu.Unlock()
-	if now.Sub(f.view.at) > viewTime {
-		f.view.at = now
-		f.view.near = f.places(f.Hall, now)
-		f.view.far = f.places("", now)
+// cachedCandidates returns copies of the lists of candidates of this hall and of
+// other halls. The caller may reorder them.
+func (f *Front) cachedCandidates(now time.Time) (local, remote []candidate) {
+	f.cache.mu.Lock()
+	defer f.cache.mu.Unlock()
+	if now.Sub(f.cache.loadedAt) > candidateCacheTTL {
+		f.cache.loadedAt = now
+		f.cache.local = f.candidates(f.Hall, now)
+		f.cache.remote = f.candidates("", now)
 	}
-	return append([]place(nil), f.view.near...), append([]place(nil), f.view.far...)
+	return append([]candidate(nil), f.cache.local...), append([]candidate(nil), f.cache.remote...)
 }
 
-// places returns the owners of a hall, or of all other halls for "", that can
+// candidates returns the owners of a hall, or of all other halls for "", that can
 // take work.
-func (f *Front) places(hallName string, now time.Time) []place {
-	var out []place
+func (f *Front) candidates(hallName string, now time.Time) []candidate {
+	var out []candidate
 	if hallName == f.Hall {
-		self := place{instance: f.Instance, hall: f.Hall, racks: f.Owner.Summary(), self: true}
+		self := candidate{instance: f.Instance, hall: f.Hall, racks: f.Owner.Summary(), self: true}
 		out = appendReady(out, self)
 	}
 	for _, p := range f.Peers.Live(hallName, now) {
 		if p.Leaving || (hallName == "" && p.Hall == f.Hall) {
 			continue
 		}
-		out = appendReady(out, place{instance: p.Instance, addr: p.Addr, hall: p.Hall, racks: p.Racks})
+		out = appendReady(out, candidate{instance: p.Instance, addr: p.Addr, hall: p.Hall, racks: p.Racks})
 	}
 	return out
 }
 
-func appendReady(list []place, p place) []place {
+func appendReady(list []candidate, p candidate) []candidate {
 	if !p.ready() {
 		return list
 	}
 	return append(list, p)
 }
 
-// order sorts places by a draw of two: the better of two drawn at random comes
-// first, then the better of two of the rest, and so on. Owners are not all
-// chosen by the same summary at the same moment in this way.
-func order(list []place, d sched.Vec) []place {
+// orderByTwoChoices orders candidates by the power of two random choices: it
+// shuffles them, puts the better of the first two first, then the better of the
+// other and the next one, and so on. Instances with the same summaries thereby do
+// not all choose the same owner at once.
+func orderByTwoChoices(list []candidate, d sched.Vec) []candidate {
 	rand.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
 	for i := 0; i+1 < len(list); i++ {
-		if list[i+1].room(d) > list[i].room(d) {
+		if list[i+1].freeSlots(d) > list[i].freeSlots(d) {
 			list[i], list[i+1] = list[i+1], list[i]
 		}
 	}
-	return ownFirst(list, d)
+	return preferSelf(list, d)
 }
 
-// ownFirst puts the owner within this process first if it has at least half of
-// the room of the first one: that saves the call a hop.
-func ownFirst(list []place, d sched.Vec) []place {
+// preferSelf puts the owner within this process first if it has at least half as
+// much room as the first candidate. This saves the call a network hop.
+func preferSelf(list []candidate, d sched.Vec) []candidate {
 	for i := range list {
 		if !list[i].self {
 			continue
 		}
-		if room := list[i].room(d); room > 0 && 2*room >= list[0].room(d) {
+		if room := list[i].freeSlots(d); room > 0 && 2*room >= list[0].freeSlots(d) {
 			list[0], list[i] = list[i], list[0]
 		}
 		break
@@ -138,42 +140,43 @@
 	return list
 }
 
-// try is one place to pass a call to.
-type try struct {
-	place place
-	queue bool
+// attempt is one candidate to send a call to; queue lets the call wait there.
+type attempt struct {
+	candidate candidate
+	queue     bool
 }
 
 const (
-	// localTries and farTries bound the owners that are asked whether they have
-	// room at once.
-	localTries = 2
-	farTries   = 1
+	// maxLocalAttempts and maxRemoteAttempts bound the owners that are tried without
+	// queueing.
+	maxLocalAttempts  = 2
+	maxRemoteAttempts = 1
 )
 
-// tries returns where to pass a call to, one after another.
-func (f *Front) tries(d sched.Vec) []try {
-	near, others := f.seen(clock.Now())
-	local := order(near, d)
-	var out []try
-	for i := 0; i < len(local) && i < localTries; i++ {
-		out = append(out, try{place: local[i]})
+// attempts returns the candidates to send a call to, in order.
+func (f *Front) attempts(d sched.Vec) []attempt {
+	own, others := f.cachedCandidates(clock.Now())
+	local := orderByTwoChoices(own, d)
+	var out []attempt
+	for i := 0; i < len(local) && i < maxLocalAttempts; i++ {
+		out = append(out, attempt{candidate: local[i]})
 	}
-	far := order(others, d)
-	for i := 0; i < len(far) && i < farTries; i++ {
-		if far[i].room(d) > 0 {
-			out = append(out, try{place: far[i]})
+	remote := orderByTwoChoices(others, d)
+	for i := 0; i < len(remote) && i < maxRemoteAttempts; i++ {
+		if remote[i].freeSlots(d) > 0 {
+			out = append(out, attempt{candidate: remote[i]})
 		}
 	}
-	wait := append(append([]place(nil), local...), far...)
-	sort.SliceStable(wait, func(i, j int) bool { return queued(wait[i]) < queued(wait[j]) })
-	for i := 0; i < len(wait) && i < localTries; i++ {
-		out = append(out, try{place: wait[i], queue: true})
+	queueing := append(append([]candidate(nil), local...), remote...)
+	sort.SliceStable(queueing, func(i, j int) bool { return maxQueued(queueing[i]) < maxQueued(queueing[j]) })
+	for i := 0; i < len(queueing) && i < maxLocalAttempts; i++ {
+		out = append(out, attempt{candidate: queueing[i], queue: true})
 	}
 	return out
 }
 
-func queued(p place) uint32 {
+// maxQueued returns the length of the longest queue on a rack of a candidate.
+func maxQueued(p candidate) uint32 {
 	var n uint32
 	for _, r := range p.racks {
 		n = max(n, r.Queued)
@@ -181,8 +184,8 @@
 	return n
 }
 
-// pass sends a call to a place.
-func (f *Front) pass(ctx context.Context, p place, c *wire.Call) (*wire.CallReply, error) {
+// forwardTo sends a call to a candidate.
+func (f *Front) forwardTo(ctx context.Context, p candidate, c *wire.Call) (*wire.CallReply, error) {
 	if p.self {
 		return f.Owner.Call(ctx, c)
 	}
@@ -196,18 +199,18 @@
 	return reply.GetCall(), nil
 }
 
-// limits are the rates of the workloads at this instance.
-type limits struct {
+// rateLimits holds the rate limiters of the workloads at this instance.
+type rateLimits struct {
 	mu  sync.Mutex
 	set map[string]*rate.Limiter
 }
 
-// burstSeconds is how much of its rate a workload may use at once.
+// burstSeconds is the size of a burst in seconds of the rate.
 const burstSeconds = 2
 
-// allow takes one request of a workload from its rate, of which each live
-// instance has an equal part.
-func (l *limits) allow(w *tree.Workload, instances int) error {
+// allow admits one request of a workload by its rate, which is divided equally
+// among the live instances.
+func (l *rateLimits) allow(w *tree.Workload, instances int) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.set == nil {
@@ -231,29 +234,30 @@
 	return kind.New(kind.RateLimited, w.Path).After(max(wait, 100*time.Millisecond))
 }
 
-// budget bounds the tries after the first: they take from what first tries
-// bring in.
-type budget struct {
-	mu     sync.Mutex
-	tokens float64
-	begun  bool
+// retryBudget limits retries in proportion to first tries. It starts full.
+type retryBudget struct {
+	mu      sync.Mutex
+	tokens  float64
+	started bool
 }
 
 const (
-	budgetPart = 0.5
-	budgetMost = 200
+	retriesPerFirstTry = 0.5
+	maxRetryTokens     = 200
 )
 
-func (b *budget) first() {
+// addFirstTry credits the budget for a first try.
+func (b *retryBudget) addFirstTry() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if !b.begun {
-		b.tokens, b.begun = budgetMost, true
+	if !b.started {
+		b.tokens, b.started = maxRetryTokens, true
 	}
-	b.tokens = min(b.tokens+budgetPart, budgetMost)
+	b.tokens = min(b.tokens+retriesPerFirstTry, maxRetryTokens)
 }
 
-func (b *budget) again() bool {
+// takeRetry takes one retry from the budget and reports whether there was one.
+func (b *retryBudget) takeRetry() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.tokens < 1 {
