--- a/test/proof/failure_test.go
+++ b/test/proof/failure_test.go
@@ -21,34 +21,34 @@
 	"dewpass.org/test/load"
 )
 
-const specTime = 4 * time.Minute
+const specTimeout = 4 * time.Minute
 
 var _ = Describe("under load", func() {
 	for _, d := range []bed.Deployment{bed.Comhar, bed.Kartvela} {
 		It("survives an entry that is killed and comes back: "+d.Name, func(ctx context.Context) {
 			b := startBed(ctx, d, 2)
 			openWindows(ctx, b)
-			under(ctx, b, 8*time.Second, func() {
+			runUnderLoad(ctx, b, 8*time.Second, func() {
 				time.Sleep(2 * time.Second)
 				b.Entries[0].Kill()
 				time.Sleep(4 * time.Second)
 				Expect(b.Entries[0].Start()).To(Succeed())
 			})
 			Expect(b.AwaitReady(ctx)).To(Succeed())
-		}, SpecTimeout(specTime))
+		}, SpecTimeout(specTimeout))
 
 		It("survives an entry that is paused and carries on: "+d.Name, func(ctx context.Context) {
 			b := startBed(ctx, d, 2)
 			openWindows(ctx, b)
-			under(ctx, b, 14*time.Second, func() {
+			runUnderLoad(ctx, b, 14*time.Second, func() {
 				time.Sleep(2 * time.Second)
 				b.Entries[0].Freeze()
 				time.Sleep(8 * time.Second)
 				b.Entries[0].Thaw()
 			})
-		}, SpecTimeout(specTime))
+		}, SpecTimeout(specTimeout))
 
-		It("stops all instances in turn and cuts nothing: "+d.Name, func(ctx context.Context) {
+		It("stops all instances in turn without breaking off calls: "+d.Name, func(ctx context.Context) {
 			b := startBed(ctx, d, 2)
 			openWindows(ctx, b)
 			t := &load.Tracker{Clients: nil, Seed: 1}
@@ -56,7 +56,7 @@
 			for _, s := range mixes[d.Name] {
 				t.Send(ctx, s, 25*time.Second)
 			}
-			// At any moment some long calls are in progress at each instance.
+			// Ensures that some long calls are in progress at each instance at any time.
 			long := map[string]string{"comhar": "tinting/formula-match", "kartvela": "vans/parcel-assignment"}[d.Name]
 			t.Send(ctx, load.Stream{Workload: long, PerSecond: 15, Runs: 1500 * time.Millisecond, Once: d.Name == "kartvela"}, 25*time.Second)
 			for _, p := range b.Entries {
@@ -73,10 +73,10 @@
 			record, err := b.Record(ctx)
 			Expect(err).NotTo(HaveOccurred())
 			Expect(record.Cut).To(BeEmpty())
-		}, SpecTimeout(specTime))
+		}, SpecTimeout(specTimeout))
 	}
 
-	It("goes on while the platform is away, and loses nothing when it is back", func(ctx context.Context) {
+	It("keeps serving while the platform is away, and loses nothing when it is back", func(ctx context.Context) {
 		b := startBed(ctx, bed.Comhar, 2)
 		openWindows(ctx, b)
 		before := &load.Tracker{Clients: b.Clients(), Seed: 1}
@@ -102,7 +102,7 @@
 			}
 		}
 		verify(ctx, b, append(accepted, said...))
-	}, SpecTimeout(specTime))
+	}, SpecTimeout(specTimeout))
 
 	It("fences a former owner that was paused in the middle of a start", func(ctx context.Context) {
 		b := startBed(ctx, bed.Kartvela, 2)
@@ -112,8 +112,8 @@
 		if other == owner {
 			other = b.Entries[1]
 		}
-		// trace submits a job that belongs to the rack. The front chooses the
-		// rack, so that some may be needed.
+		// trace submits jobs until one is assigned to the rack, because the front
+		// chooses the rack.
 		trace := func(shop string) load.Said {
 			GinkgoHelper()
 			for {
@@ -137,11 +137,11 @@
 			}).WithTimeout(time.Minute).Should(Succeed())
 			return worker
 		}
-		// The first job shows which worker is packed next.
+		// The first job shows which worker the owner fills next.
 		first := trace("first-depot")
 		packed := running(other.Client(), first)
-		// Only the start of the second job stops the owner, not one of a service
-		// or of a job on another of its racks.
+		// The rule pauses the owner only at the start of the second job, not at
+		// one of a service or of a job on another of its racks.
 		const stopped = "second-depot"
 		stop := rule{Point: "sent", Worker: rack + "-", Shop: stopped, Stop: true, DelayMS: 500}
 		Expect(owner.Faults(ctx, []rule{stop})).To(Succeed())
@@ -150,8 +150,8 @@
 			short, cancel := context.WithTimeout(ctx, 300*time.Millisecond)
 			defer cancel()
 			return owner.Client().Do(short, http.MethodGet, "/healthz", nil, nil)
-		}).ShouldNot(Succeed(), "the owner stands still")
-		// The next owner must not choose the same worker again.
+		}).ShouldNot(Succeed(), "the owner must be paused")
+		// Keeps the next owner from choosing the same worker again.
 		Expect(b.Worker(ctx, packed, "leave")).To(Succeed())
 		Expect(running(other.Client(), second)).NotTo(Equal(packed))
 		Expect(b.Worker(ctx, packed, "return")).To(Succeed())
@@ -160,7 +160,7 @@
 		starts, err := b.Starts(ctx)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(starts[second.Item.Payload.Tag]).To(Equal(1))
-	}, SpecTimeout(specTime))
+	}, SpecTimeout(specTimeout))
 
 	It("never runs a late copy of a request that it refused while the table was away", func(ctx context.Context) {
 		b := startBed(ctx, bed.Comhar, 2)
@@ -173,7 +173,7 @@
 		again := it
 		again.FirstTry = false
 		_, err = load.Call(ctx, b.Entries[0].Client(), again)
-		Expect(kind.Of(err).Outcome).To(Equal(kind.NotRun), "the refusal is remembered: %v", err)
+		Expect(kind.Of(err).Outcome).To(Equal(kind.NotRun), "the refusal must be remembered: %v", err)
 		stranger := load.NewItem("tinting/dispense-order", 20*time.Millisecond)
 		_, err = load.Call(ctx, b.Entries[0].Client(), stranger)
 		Expect(kind.Of(err).Outcome).To(Equal(kind.Unknown), "an earlier try may have run: %v", err)
@@ -189,9 +189,9 @@
 		starts, err := b.Starts(ctx)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(starts).NotTo(HaveKey(it.Payload.Tag))
-	}, SpecTimeout(specTime))
+	}, SpecTimeout(specTimeout))
 
-	It("goes on in a hall that is cut off, which joins again without loss", func(ctx context.Context) {
+	It("keeps serving in a hall that is cut off, which rejoins without loss", func(ctx context.Context) {
 		b := startBed(ctx, bed.Comhar, 2)
 		openWindows(ctx, b)
 		inside := cutHall(ctx, b, "naas-hall")
@@ -207,36 +207,36 @@
 		b.Entries[0].Kill()
 		said, outside := t.Wait(), others.Wait()
 		Expect(b.Entries[0].Start()).To(Succeed())
-		heal(ctx, b)
+		clearFaults(ctx, b)
 		lookups := 0
 		for _, s := range said {
 			if s.Item.Workload == "tinting/shade-lookup" && s.Outcome == load.Whole {
 				lookups++
 			}
 		}
-		Expect(lookups).To(BeNumerically(">", 100), "a cut hall serves lookups")
+		Expect(lookups).To(BeNumerically(">", 100), "a hall that is cut off must serve lookups")
 		for _, s := range outside {
 			Expect(s.Outcome).To(BeElementOf(load.Whole, load.Accepted), "%s: %v", s.Item.Workload, s.Err)
 		}
 		Expect(b.AwaitReady(ctx)).To(Succeed())
 		verify(ctx, b, append(said, outside...))
-	}, SpecTimeout(specTime))
+	}, SpecTimeout(specTimeout))
 
-	It("gives whole answers only, though answers are cut and crossed", func(ctx context.Context) {
+	It("returns only complete answers although answers are cut and crossed", func(ctx context.Context) {
 		b := startBed(ctx, bed.Comhar, 2)
 		openWindows(ctx, b)
 		for _, w := range b.Config.Workers {
 			Expect(b.Fault(ctx, "worker/"+w.ID, standin.Faults{CutEvery: 5, CrossEvery: 7, LoseEvery: 11})).To(Succeed())
 		}
-		said := under(ctx, b, 6*time.Second, func() {})
-		Expect(count(said)[load.Wrong]).To(BeZero())
-		Expect(count(said)[load.Whole]).To(BeNumerically(">", len(said)/2))
-	}, SpecTimeout(specTime))
+		said := runUnderLoad(ctx, b, 6*time.Second, func() {})
+		Expect(countOutcomes(said)[load.Wrong]).To(BeZero())
+		Expect(countOutcomes(said)[load.Whole]).To(BeNumerically(">", len(said)/2))
+	}, SpecTimeout(specTimeout))
 
-	It("takes up the work of workers that crash, and repeats none that must not be", func(ctx context.Context) {
+	It("takes over the work of workers that crash, and repeats none that must not be repeated", func(ctx context.Context) {
 		b := startBed(ctx, bed.Kartvela, 2)
 		openWindows(ctx, b)
-		under(ctx, b, 10*time.Second, func() {
+		runUnderLoad(ctx, b, 10*time.Second, func() {
 			for i, w := range b.Config.Workers {
 				if i%6 != 0 {
 					continue
@@ -249,9 +249,9 @@
 				}
 			}
 		})
-	}, SpecTimeout(specTime))
+	}, SpecTimeout(specTimeout))
 
-	It("starts the jobs of a dead worker again though its rack was taken over", func(ctx context.Context) {
+	It("starts the jobs of a dead worker again although its rack was taken over", func(ctx context.Context) {
 		b := startBed(ctx, bed.Kartvela, 2)
 		said := submitAt(ctx, b, "kutaisi-a", 6, 6*time.Second)
 		row, err := load.Get(ctx, b.Balancer, said[0].ID)
@@ -260,7 +260,7 @@
 		Expect(b.Worker(ctx, row.Worker, "crash")).To(Succeed())
 		owner.Kill()
 		verify(ctx, b, said)
-	}, SpecTimeout(specTime))
+	}, SpecTimeout(specTimeout))
 
 	It("moves the jobs of a rack that is dead to others", func(ctx context.Context) {
 		b := startBed(ctx, bed.Kartvela, 2)
@@ -271,12 +271,12 @@
 			}
 		}
 		verify(ctx, b, said)
-	}, SpecTimeout(specTime))
+	}, SpecTimeout(specTimeout))
 
 	It("gives a leaving worker no new work, and moves its jobs", func(ctx context.Context) {
 		b := startBed(ctx, bed.Comhar, 2)
 		openWindows(ctx, b)
-		under(ctx, b, 12*time.Second, func() {
+		runUnderLoad(ctx, b, 12*time.Second, func() {
 			time.Sleep(2 * time.Second)
 			for i, w := range b.Config.Workers {
 				if i%3 == 0 {
@@ -284,15 +284,15 @@
 				}
 			}
 		})
-	}, SpecTimeout(specTime))
+	}, SpecTimeout(specTimeout))
 
-	It("comes through a table that is slow, short of rate, and loses answers", func(ctx context.Context) {
+	It("tolerates a table that is slow, is limited in its rate, and loses answers", func(ctx context.Context) {
 		b := startBed(ctx, bed.Kartvela, 2)
 		openWindows(ctx, b)
 		Expect(b.Fault(ctx, "table", standin.Faults{DelayMS: 60, PerSecond: 60, LoseEvery: 4})).To(Succeed())
-		under(ctx, b, 8*time.Second, func() {})
+		runUnderLoad(ctx, b, 8*time.Second, func() {})
 		Expect(b.Fault(ctx, "table", standin.Faults{})).To(Succeed())
-	}, SpecTimeout(specTime))
+	}, SpecTimeout(specTimeout))
 })
 
 func setPlatform(ctx context.Context, b *bed.Bed, f standin.Faults) {
@@ -302,8 +302,8 @@
 	}
 }
 
-// awaitCutOff waits until an entry knows that the platform is away. Before
-// that, the fate of what it writes is unknown, and it says so.
+// awaitCutOff waits until an instance reports that the platform is away. Until then the outcome
+// of its writes is unknown, and its answers say so.
 func awaitCutOff(ctx context.Context, p *bed.Process) {
 	GinkgoHelper()
 	Eventually(func() bool {
@@ -312,11 +312,11 @@
 	}).Should(BeTrue())
 }
 
-// rule is a rule at the fault points of an entry.
+// rule is a rule for the fault points of an instance.
 type rule = fault.Rule
 
-// cutHall cuts the links of a hall's entries to the platform and to the other
-// halls, both ways, and returns clients of its entries.
+// cutHall cuts the links of a hall's instances to the platform, and both ways to the instances of
+// other halls. It returns clients of the hall's instances.
 func cutHall(ctx context.Context, b *bed.Bed, hall string) []*client.Client {
 	GinkgoHelper()
 	var inside []*client.Client
@@ -336,8 +336,8 @@
 	return inside
 }
 
-// heal takes all rules away.
-func heal(ctx context.Context, b *bed.Bed) {
+// clearFaults removes all fault rules from the running instances.
+func clearFaults(ctx context.Context, b *bed.Bed) {
 	GinkgoHelper()
 	for _, p := range b.Entries {
 		if p.Running() {
--- a/test/proof/harness_test.go
+++ b/test/proof/harness_test.go
@@ -13,7 +13,7 @@
 	"dewpass.org/test/load"
 )
 
-// mixes are small loads of every kind of work of the two users.
+// mixes are small loads of all kinds of workload of the two users.
 var mixes = map[string][]load.Stream{
 	"comhar": {
 		{Workload: "tinting/shade-lookup", PerSecond: 60, Runs: 8 * time.Millisecond},
@@ -29,12 +29,12 @@
 	},
 }
 
-// settleWithin bounds how long work may take to end after the failures.
-const settleWithin = 90 * time.Second
+// settleTimeout is the maximum time until all work has ended after the failures.
+const settleTimeout = 90 * time.Second
 
-// under sends the mix of a bed for the given length while f brings failures
-// about, and then holds every answer against the workers' record.
-func under(ctx context.Context, b *bed.Bed, length time.Duration, f func()) []load.Said {
+// runUnderLoad sends the mix of a deployment for the given length while f injects failures,
+// and then checks every answer against the workers' record.
+func runUnderLoad(ctx context.Context, b *bed.Bed, length time.Duration, f func()) []load.Said {
 	t := &load.Tracker{Clients: b.Clients(), Seed: uint64(GinkgoRandomSeed())}
 	for _, s := range mixes[b.Deployment.Name] {
 		t.Send(ctx, s, length)
@@ -47,7 +47,7 @@
 
 func verify(ctx context.Context, b *bed.Bed, said []load.Said) {
 	GinkgoHelper()
-	ctx, cancel := context.WithTimeout(ctx, settleWithin)
+	ctx, cancel := context.WithTimeout(ctx, settleTimeout)
 	defer cancel()
 	starts := func(tag string) int {
 		tags, err := b.Starts(ctx)
@@ -63,11 +63,11 @@
 		}
 	}
 	Expect(load.Verify(ctx, live, said, starts)).To(BeEmpty())
-	GinkgoWriter.Println("answers:", count(said))
+	GinkgoWriter.Println("answers:", countOutcomes(said))
 }
 
-// count counts the answers by what they said.
-func count(said []load.Said) map[string]int {
+// countOutcomes counts the answers by outcome.
+func countOutcomes(said []load.Said) map[string]int {
 	out := make(map[string]int)
 	for _, s := range said {
 		what := s.Outcome
@@ -79,7 +79,7 @@
 	return out
 }
 
-// ownerOf returns the process that owns a rack, as its peers see it.
+// ownerOf returns the process that owns a rack according to its peers.
 func ownerOf(ctx context.Context, b *bed.Bed, rack string) *bed.Process {
 	GinkgoHelper()
 	owners, err := b.Owners(ctx)
@@ -89,6 +89,6 @@
 			return p
 		}
 	}
-	Fail("nobody owns " + rack)
+	Fail("no instance owns rack " + rack)
 	return nil
 }
--- a/test/proof/lost_test.go
+++ b/test/proof/lost_test.go
@@ -17,14 +17,14 @@
 	"dewpass.org/test/load"
 )
 
-// tooLarge is more than a job's row holds of an answer.
-const tooLarge = 40 << 10
+// oversizedAnswer is an answer size that does not fit into the row of a job.
+const oversizedAnswer = 40 << 10
 
-var _ = Describe("what is lost on the way", func() {
-	It("the answers of links that carry one way only", func(ctx context.Context) {
+var _ = Describe("loss on the network", func() {
+	It("violates no rule on links that carry one way only", func(ctx context.Context) {
 		b := startBed(ctx, bed.Kartvela, 2)
 		openWindows(ctx, b)
-		under(ctx, b, 12*time.Second, func() {
+		runUnderLoad(ctx, b, 12*time.Second, func() {
 			for i, p := range b.Entries {
 				var rules []rule
 				switch i % 3 {
@@ -44,13 +44,13 @@
 				Expect(p.Faults(ctx, []rule{})).To(Succeed())
 			}
 		})
-	}, SpecTimeout(specTime))
+	}, SpecTimeout(specTimeout))
 
-	It("an object store that is away, slow, and loses answers, keeps no job from its whole answer", func(ctx context.Context) {
+	It("keeps no job from its complete answer with an object store that is away, slow, or loses answers", func(ctx context.Context) {
 		b := startBed(ctx, bed.Kartvela, 2)
 		openWindows(ctx, b)
 		t := &load.Tracker{Clients: b.Clients(), Seed: 1}
-		stream := load.Stream{Workload: "tracing/trace", PerSecond: 8, Runs: time.Second, Job: true, Bytes: tooLarge, Save: 300 * time.Millisecond}
+		stream := load.Stream{Workload: "tracing/trace", PerSecond: 8, Runs: time.Second, Job: true, Bytes: oversizedAnswer, Save: 300 * time.Millisecond}
 		t.Send(ctx, stream, 9*time.Second)
 		for _, f := range []standin.Faults{{Down: true}, {DelayMS: 150, PerSecond: 20}, {LoseEvery: 2}} {
 			Expect(b.Fault(ctx, "objects", f)).To(Succeed())
@@ -62,7 +62,7 @@
 			Expect(s.Outcome).To(Equal(load.Accepted), "%v", s.Err)
 		}
 		verify(ctx, b, said)
-	}, SpecTimeout(specTime))
+	}, SpecTimeout(specTimeout))
 })
 
 var _ = Describe("clocks that run fast or slow", func() {
@@ -70,8 +70,8 @@
 		fast = 1.05
 		slow = 0.95
 	)
-	// setClocks makes the entries run fast and slow in turn, and the workers
-	// the other way round.
+	// setClocks makes the clocks of the instances fast and slow alternately, and
+	// those of the workers slow and fast.
 	setClocks := func(ctx context.Context, b *bed.Bed) {
 		GinkgoHelper()
 		rates := []float64{fast, slow}
@@ -87,16 +87,16 @@
 		b := startBed(ctx, bed.Comhar, 2)
 		openWindows(ctx, b)
 		setClocks(ctx, b)
-		under(ctx, b, 14*time.Second, func() {
+		runUnderLoad(ctx, b, 14*time.Second, func() {
 			time.Sleep(2 * time.Second)
 			b.Entries[0].Freeze()
 			time.Sleep(5 * time.Second)
 			b.Entries[0].Thaw()
 			b.Entries[2].Kill()
 		})
-	}, SpecTimeout(specTime))
+	}, SpecTimeout(specTimeout))
 
-	It("start nothing again at a fast owner while a slow worker that it cannot reach may run it", func(ctx context.Context) {
+	It("let no fast owner start a task again while a slow worker that it cannot reach may run it", func(ctx context.Context) {
 		b := startBed(ctx, bed.Kartvela, 2)
 		said := submitAt(ctx, b, "kutaisi-a", 3, 30*time.Second)
 		byWorker := make(map[string]bool)
@@ -124,22 +124,22 @@
 			}
 			return most
 		}
-		Eventually(starts).WithTimeout(time.Minute).Should(BeNumerically(">", 1), "they are started elsewhere in the end")
-		heal(ctx, b)
+		Eventually(starts).WithTimeout(time.Minute).Should(BeNumerically(">", 1), "they must be started elsewhere in the end")
+		clearFaults(ctx, b)
 		verify(ctx, b, said)
-	}, SpecTimeout(specTime))
+	}, SpecTimeout(specTimeout))
 })
 
 var _ = Describe("a list of instances that lags and is wrong", func() {
-	It("changes nothing that workers and peers show themselves", func(ctx context.Context) {
+	It("overrides nothing that workers and peers report themselves", func(ctx context.Context) {
 		b := startBed(ctx, bed.Kartvela, 2)
 		openWindows(ctx, b)
-		under(ctx, b, 10*time.Second, func() {
+		runUnderLoad(ctx, b, 10*time.Second, func() {
 			for i, w := range b.Config.Workers {
 				if i%5 != 0 {
 					continue
 				}
-				// A living worker vanishes from the list, and a stranger appears.
+				// A live worker disappears from the list, and an unknown one appears.
 				Expect(b.Unlist(ctx, w.ID)).To(Succeed())
 				stranger := ports.Instance{ID: "stranger-" + w.ID, Role: ports.RoleWorker, Hall: w.Hall, Rack: w.Rack, Addr: "127.0.0.1:9"}
 				Expect(b.List(ctx, stranger)).To(Succeed())
@@ -157,10 +157,10 @@
 			g.Expect(err).NotTo(HaveOccurred())
 			g.Expect(owners).To(HaveLen(6))
 		}).Should(Succeed())
-	}, SpecTimeout(specTime))
+	}, SpecTimeout(specTimeout))
 })
 
-var _ = Describe("what is over", func() {
+var _ = Describe("work that has ended", func() {
 	It("is removed from the table and the object store once it was kept for long enough", func(ctx context.Context) {
 		b := startBed(ctx, bed.Kartvela, 2)
 		openWindows(ctx, b)
@@ -168,7 +168,7 @@
 		v := editTree(ctx, b.Balancer, 2, "keep", op("tracing.keep", keep), op("vans.keep", keep))
 		Expect(b.AwaitTree(ctx, v)).To(Succeed())
 		t := &load.Tracker{Clients: b.Clients(), Seed: 1}
-		t.Send(ctx, load.Stream{Workload: "tracing/trace", PerSecond: 10, Runs: 200 * time.Millisecond, Job: true, Bytes: tooLarge}, time.Second)
+		t.Send(ctx, load.Stream{Workload: "tracing/trace", PerSecond: 10, Runs: 200 * time.Millisecond, Job: true, Bytes: oversizedAnswer}, time.Second)
 		t.Send(ctx, load.Stream{Workload: "vans/parcel-assignment", PerSecond: 10, Runs: 20 * time.Millisecond, Once: true}, time.Second)
 		said := t.Wait()
 		verify(ctx, b, said)
@@ -190,5 +190,5 @@
 		var objects []string
 		Expect(b.Admin.Do(ctx, http.MethodGet, "/record/objects", nil, &objects)).To(Succeed())
 		Expect(objects).To(BeEmpty())
-	}, SpecTimeout(specTime))
+	}, SpecTimeout(specTimeout))
 })
--- a/test/proof/matrix_test.go
+++ b/test/proof/matrix_test.go
@@ -23,63 +23,64 @@
 	"dewpass.org/tree"
 )
 
-// small is a deployment for one cell of the matrix.
-var small = bed.Deployment{
+// cellDeployment is the small deployment in which each cell of the matrix runs.
+var cellDeployment = bed.Deployment{
 	Name: "comhar", Halls: []string{"naas-hall", "athy-hall"}, Capacity: bed.Comhar.Capacity,
 	RacksPerHall: 1, WorkersPerRack: 4, Tree: bed.Comhar.Tree,
 }
 
-var smallMix = []load.Stream{
+var cellStreams = []load.Stream{
 	{Workload: "tinting/shade-lookup", PerSecond: 30, Runs: 8 * time.Millisecond},
 	{Workload: "tinting/dispense-order", PerSecond: 15, Runs: 30 * time.Millisecond, Once: true},
-	{Workload: "nightly/recalibration", PerSecond: 4, Runs: 600 * time.Millisecond, Job: true, Save: 150 * time.Millisecond, Bytes: tooLarge},
+	{Workload: "nightly/recalibration", PerSecond: 4, Runs: 600 * time.Millisecond, Job: true, Save: 150 * time.Millisecond, Bytes: oversizedAnswer},
 }
 
-// befall is what is brought about when a step is reached.
-type befall string
+// failure is what is injected when a step is reached. The value names it in reports.
+type failure string
 
 const (
-	exits       befall = "exit"
-	freezes     befall = "freeze"
-	tableDown   befall = "table down"
-	answersLost befall = "answers lost"
-	workerDies  befall = "worker crash"
-	workerCut   befall = "worker cut"
-	peerCut     befall = "peer cut"
-	peerDeaf    befall = "peer's answers lost"
-	workerDeaf  befall = "worker's answers lost"
-	workerGoes  befall = "worker leaving"
-	tableSlow   befall = "table slow and short of rate"
-	objectsDown befall = "objects down"
-	clockFast   befall = "clock fast"
-	clockSlow   befall = "clock slow"
+	exitProcess       failure = "exit"
+	freezeProcess     failure = "freeze"
+	tableDown         failure = "table down"
+	tableAnswersLost  failure = "answers lost"
+	workerCrash       failure = "worker crash"
+	workerCut         failure = "worker cut"
+	peerCut           failure = "peer cut"
+	peerAnswersLost   failure = "peer's answers lost"
+	workerAnswersLost failure = "worker's answers lost"
+	workerLeaving     failure = "worker leaving"
+	tableSlow         failure = "table slow and short of rate"
+	objectsDown       failure = "objects down"
+	clockFast         failure = "clock fast"
+	clockSlow         failure = "clock slow"
 )
 
-var befalls = []befall{
-	exits, freezes, tableDown, answersLost, workerDies, workerCut, peerCut,
-	peerDeaf, workerDeaf, workerGoes, tableSlow, objectsDown, clockFast, clockSlow,
+var failures = []failure{
+	exitProcess, freezeProcess, tableDown, tableAnswersLost, workerCrash, workerCut, peerCut,
+	peerAnswersLost, workerAnswersLost, workerLeaving, tableSlow, objectsDown, clockFast, clockSlow,
 }
 
-// cell is one cell of the matrix: a step and what befalls it. A pair has two.
+// cell is one cell of the matrix: a step and the failure that is injected there. A pair has two
+// failures.
 type cell struct {
-	point  fault.Point
-	befall befall
-	skip   int
-	// second comes on top a moment later, "" for none.
-	second befall
+	point fault.Point
+	first failure
+	skip  int
+	// second is injected stepDelay after the first has ended, "" for none.
+	second failure
 }
 
 func (c cell) String() string {
-	s := fmt.Sprintf("%s at %s+%d", c.befall, c.point, c.skip)
+	s := fmt.Sprintf("%s at %s+%d", c.first, c.point, c.skip)
 	if c.second != "" {
 		s += " and " + string(c.second)
 	}
 	return s
 }
 
-// skips draws how often a step passes before it is the one. A takeover of the
-// one rack of a cell happens once.
-func skips(rng *rand.Rand, p fault.Point) int {
+// drawSkip draws how often a step passes before the failure is injected. It is 0 for steps of a
+// takeover, which happens once per cell.
+func drawSkip(rng *rand.Rand, p fault.Point) int {
 	n := rng.IntN(3)
 	if p == fault.LeaseTaken || p == fault.HandedOver {
 		return 0
@@ -87,39 +88,39 @@
 	return n
 }
 
-// cells returns the cells of a seed: every step, with two failures drawn for
-// each, and pairs. With all, every failure at every step comes first.
+// cells returns the cells of a seed: every step with one drawn failure, and pairs. With all, every
+// failure at every step comes instead of the drawn ones.
 func cells(seed uint64, all bool) []cell {
 	rng := rand.New(rand.NewPCG(seed, seed))
 	var out []cell
 	for _, p := range fault.Points {
 		if all {
-			for _, b := range befalls {
-				out = append(out, cell{point: p, befall: b, skip: skips(rng, p)})
+			for _, b := range failures {
+				out = append(out, cell{point: p, first: b, skip: drawSkip(rng, p)})
 			}
 			continue
 		}
-		out = append(out, cell{point: p, befall: befalls[rng.IntN(len(befalls))], skip: skips(rng, p)})
+		out = append(out, cell{point: p, first: failures[rng.IntN(len(failures))], skip: drawSkip(rng, p)})
 	}
 	for range pairsPerSeed {
 		p := fault.Points[rng.IntN(len(fault.Points))]
-		a, b := befalls[rng.IntN(len(befalls))], befalls[rng.IntN(len(befalls))]
-		out = append(out, cell{point: p, befall: a, second: b, skip: skips(rng, p)})
+		a, b := failures[rng.IntN(len(failures))], failures[rng.IntN(len(failures))]
+		out = append(out, cell{point: p, first: a, second: b, skip: drawSkip(rng, p)})
 	}
 	return out
 }
 
 const (
-	pairsPerSeed = 4
-	cellsAtOnce  = 10
-	cellLoad     = 5 * time.Second
-	cellTime     = 3 * time.Minute
-	outage       = 2500 * time.Millisecond
-	frozen       = 5 * time.Second
-	holdStep     = 400 * time.Millisecond
-	firstSeed    = 1
-	hitPoll      = 20 * time.Millisecond
-	editEvery    = 250 * time.Millisecond
+	pairsPerSeed    = 4
+	concurrentCells = 10
+	cellLoadTime    = 5 * time.Second
+	cellTimeout     = 3 * time.Minute
+	outage          = 2500 * time.Millisecond
+	freezeTime      = 5 * time.Second
+	stepDelay       = 400 * time.Millisecond
+	firstSeed       = 1
+	pollInterval    = 20 * time.Millisecond
+	editInterval    = 250 * time.Millisecond
 )
 
 func seeds() int {
@@ -132,7 +133,7 @@
 
 var _ = Describe("the fault matrix", func() {
 	It("holds every promise", func(ctx context.Context) {
-		gate := make(chan struct{}, cellsAtOnce)
+		gate := make(chan struct{}, concurrentCells)
 		var wg sync.WaitGroup
 		var mu sync.Mutex
 		var broken []string
@@ -165,17 +166,16 @@
 	}, SpecTimeout(75*time.Minute))
 })
 
-// runCell runs one cell and returns whether its step was reached and what was
-// broken.
+// runCell runs one cell. It returns whether its step was reached, and the violated rules.
 func runCell(ctx context.Context, c cell) (hit bool, broken []string) {
-	ctx, cancel := context.WithTimeout(ctx, cellTime)
+	ctx, cancel := context.WithTimeout(ctx, cellTimeout)
 	defer cancel()
 	dir, err := os.MkdirTemp("", "dewpass-cell")
 	if err != nil {
 		return false, []string{err.Error()}
 	}
 	b, err := bed.Start(ctx, bed.Options{
-		Deployment: small, PerHall: 2, Dir: dir, TaskLease: taskLease, Debug: true,
+		Deployment: cellDeployment, PerHall: 2, Dir: dir, TaskLease: taskLease, Debug: true,
 		Dewpass: binaries + "/dewpass", StandIn: binaries + "/standin", Examples: "../../examples",
 	})
 	if err != nil {
@@ -184,7 +184,7 @@
 	defer b.Close()
 	r := &cellRun{b: b, c: c}
 	broken = r.run(ctx)
-	for _, log := range races(dir) {
+	for _, log := range raceReports(dir) {
 		broken = append(broken, "data race in "+log)
 	}
 	if len(broken) == 0 {
@@ -196,12 +196,12 @@
 	return r.hit, broken
 }
 
-// cellRun is one cell as it runs.
+// cellRun is the state of a running cell.
 type cellRun struct {
 	b *bed.Bed
 	c cell
-	// target is the process whose step it is, peer the other of its hall, and
-	// editor the one that edits go to.
+	// target is the process that reaches the step, peer the other one in its hall, and
+	// editor the one that gets the edits of the tree.
 	target, peer, editor *bed.Process
 	hit                  bool
 	mu                   sync.Mutex
@@ -215,16 +215,16 @@
 		return []string{err.Error()}
 	}
 	t := &load.Tracker{Clients: r.b.Clients(), Seed: 1}
-	for _, s := range smallMix {
-		t.Send(ctx, s, cellLoad)
+	for _, s := range cellStreams {
+		t.Send(ctx, s, cellLoadTime)
 	}
 	editing, stopEditing := context.WithCancel(ctx)
-	go r.edit(editing)
-	r.bringAbout(ctx)
+	go r.editRepeatedly(editing)
+	r.injectFailures(ctx)
 	said := t.Wait()
 	stopEditing()
 	if err := r.recover(ctx); err != nil {
-		return []string{"not up again: " + err.Error()}
+		return []string{"instances not ready after the failure: " + err.Error()}
 	}
 	return r.check(ctx, said)
 }
@@ -257,7 +257,7 @@
 	return nil
 }
 
-// takeover reports whether the step belongs to an instance that takes over.
+// takeover reports whether the step is reached by an instance that takes over a rack.
 func (r *cellRun) takeover() bool {
 	switch r.c.point {
 	case fault.LeaseTaken, fault.Attached:
@@ -266,18 +266,18 @@
 	return false
 }
 
-// bringAbout sets the rule, waits until the step is reached, and brings the
-// failures about.
-func (r *cellRun) bringAbout(ctx context.Context) {
+// injectFailures sets the rule for the step, waits until the step is reached, and injects the
+// failures.
+func (r *cellRun) injectFailures(ctx context.Context) {
 	time.Sleep(time.Second)
 	step := rule{Point: r.c.point, Skip: r.c.skip}
-	switch r.c.befall {
-	case exits:
+	switch r.c.first {
+	case exitProcess:
 		step.Exit = true
-	case freezes:
+	case freezeProcess:
 		step.Stop = true
 	default:
-		step.DelayMS = holdStep.Milliseconds()
+		step.DelayMS = stepDelay.Milliseconds()
 	}
 	if r.target.Faults(ctx, []rule{step}) != nil {
 		return
@@ -293,10 +293,10 @@
 		}
 	}()
 	r.hit = r.awaitHit(ctx)
-	r.befall(ctx, r.c.befall)
+	r.inject(ctx, r.c.first)
 	if r.c.second != "" {
-		time.Sleep(holdStep)
-		r.befall(ctx, r.c.second)
+		time.Sleep(stepDelay)
+		r.inject(ctx, r.c.second)
 	}
 	if r.c.point == fault.HandedOver {
 		r.target.Thaw()
@@ -304,10 +304,10 @@
 	}
 }
 
-// awaitHit waits until the step is reached: its rule is used up, or the
-// process no longer answers.
+// awaitHit waits until the step is reached: the rule is used up, or the process does not answer
+// any more.
 func (r *cellRun) awaitHit(ctx context.Context) bool {
-	end := time.Now().Add(2 * cellLoad)
+	end := time.Now().Add(2 * cellLoadTime)
 	for time.Now().Before(end) {
 		short, cancel := context.WithTimeout(ctx, time.Second)
 		var left []rule
@@ -316,73 +316,73 @@
 		if err != nil || len(left) == 0 {
 			return true
 		}
-		time.Sleep(hitPoll)
+		time.Sleep(pollInterval)
 	}
 	return false
 }
 
-func (r *cellRun) befall(ctx context.Context, what befall) {
+func (r *cellRun) inject(ctx context.Context, what failure) {
 	worker := r.b.Config.Workers[0]
 	switch what {
-	case exits:
+	case exitProcess:
 		r.target.Kill()
-	case freezes:
+	case freezeProcess:
 		r.target.Freeze()
-		time.Sleep(frozen)
+		time.Sleep(freezeTime)
 		r.target.Thaw()
 	case tableDown:
-		r.trouble(ctx, "table", standin.Faults{Down: true})
-	case answersLost:
-		r.trouble(ctx, "table", standin.Faults{LoseEvery: 2})
+		r.withServiceFaults(ctx, "table", standin.Faults{Down: true})
+	case tableAnswersLost:
+		r.withServiceFaults(ctx, "table", standin.Faults{LoseEvery: 2})
 	case tableSlow:
-		r.trouble(ctx, "table", standin.Faults{DelayMS: 80, PerSecond: 40})
+		r.withServiceFaults(ctx, "table", standin.Faults{DelayMS: 80, PerSecond: 40})
 	case objectsDown:
-		r.trouble(ctx, "objects", standin.Faults{Down: true})
-	case workerDies:
-		r.atWorker(ctx, worker.ID, "crash", "restart")
-	case workerGoes:
-		r.atWorker(ctx, worker.ID, "leave", "return")
+		r.withServiceFaults(ctx, "objects", standin.Faults{Down: true})
+	case workerCrash:
+		r.withWorkerEvent(ctx, worker.ID, "crash", "restart")
+	case workerLeaving:
+		r.withWorkerEvent(ctx, worker.ID, "leave", "return")
 	case workerCut:
-		r.withRule(ctx, rule{Addr: "worker/" + worker.ID, Cut: true})
-	case workerDeaf:
-		r.withRule(ctx, rule{Addr: worker.Addr, Deaf: true})
+		r.withFaultRule(ctx, rule{Addr: "worker/" + worker.ID, Cut: true})
+	case workerAnswersLost:
+		r.withFaultRule(ctx, rule{Addr: worker.Addr, Deaf: true})
 	case peerCut:
-		r.withRule(ctx, rule{Addr: "peer/" + r.peer.Addr.Peer, Cut: true})
-	case peerDeaf:
-		r.withRule(ctx, rule{Addr: "peer/" + r.peer.Addr.Peer, Deaf: true})
+		r.withFaultRule(ctx, rule{Addr: "peer/" + r.peer.Addr.Peer, Cut: true})
+	case peerAnswersLost:
+		r.withFaultRule(ctx, rule{Addr: "peer/" + r.peer.Addr.Peer, Deaf: true})
 	case clockFast:
-		r.withRule(ctx, rule{Rate: 1.05})
+		r.withFaultRule(ctx, rule{Rate: 1.05})
 	case clockSlow:
-		r.withRule(ctx, rule{Rate: 0.95})
+		r.withFaultRule(ctx, rule{Rate: 0.95})
 	}
 }
 
-// trouble sets the switches of a service of the platform for a while.
-func (r *cellRun) trouble(ctx context.Context, what string, f standin.Faults) {
+// withServiceFaults applies faults to a service of the platform for the time of an outage.
+func (r *cellRun) withServiceFaults(ctx context.Context, what string, f standin.Faults) {
 	_ = r.b.Fault(ctx, what, f)
 	time.Sleep(outage)
 	_ = r.b.Fault(ctx, what, standin.Faults{})
 }
 
-// atWorker brings an event about at a worker, and ends it after a while.
-func (r *cellRun) atWorker(ctx context.Context, id, begin, end string) {
+// withWorkerEvent triggers the event begin at a worker, and end after the time of an outage.
+func (r *cellRun) withWorkerEvent(ctx context.Context, id, begin, end string) {
 	_ = r.b.Worker(ctx, id, begin)
 	time.Sleep(outage)
 	_ = r.b.Worker(ctx, id, end)
 }
 
-// withRule sets a rule at the target for a while.
-func (r *cellRun) withRule(ctx context.Context, added rule) {
+// withFaultRule sets a fault rule at the target for the time of an outage.
+func (r *cellRun) withFaultRule(ctx context.Context, added rule) {
 	_ = r.target.Faults(ctx, []rule{added})
 	time.Sleep(outage)
 	_ = r.target.Faults(ctx, []rule{})
 }
 
-// edit edits the tree at the target again and again.
-func (r *cellRun) edit(ctx context.Context) {
+// editRepeatedly edits the tree at the editor until the context ends.
+func (r *cellRun) editRepeatedly(ctx context.Context) {
 	for i := 0; ctx.Err() == nil; i++ {
 		value := json.RawMessage(fmt.Sprintf(`"%dms"`, 600+i))
-		e := tree.Edit{ID: fmt.Sprint("edit-", i), Base: r.last(), Ops: []tree.Op{{Path: "nightly.estimate", Value: value}}}
+		e := tree.Edit{ID: fmt.Sprint("edit-", i), Base: r.headVersion(), Ops: []tree.Op{{Path: "nightly.estimate", Value: value}}}
 		var entry tree.Entry
 		short, cancel := context.WithTimeout(ctx, 3*time.Second)
 		err := r.editor.Client().Do(short, http.MethodPost, "/v1/tree/edits", e, &entry)
@@ -392,12 +392,12 @@
 			r.accepted = append(r.accepted, entry.Version)
 		}
 		r.mu.Unlock()
-		time.Sleep(editEvery)
+		time.Sleep(editInterval)
 	}
 }
 
-// last returns the last version that this operator saw accepted.
-func (r *cellRun) last() uint64 {
+// headVersion returns the version of the tree in the table, 0 if it cannot be read.
+func (r *cellRun) headVersion() uint64 {
 	var head struct{ Version uint64 }
 	rows, err := r.rows("tree/head")
 	if err == nil && len(rows) == 1 {
@@ -416,7 +416,7 @@
 	return out, err
 }
 
-// recover brings back what was ended and waits until all is up.
+// recover restarts killed processes, resumes frozen ones, and waits until all are ready.
 func (r *cellRun) recover(ctx context.Context) error {
 	for _, p := range r.b.Entries {
 		p.Thaw()
@@ -429,7 +429,7 @@
 	return r.b.AwaitReady(ctx)
 }
 
-// check holds what was said against the workers' and the table's records.
+// check compares the answers with the records of the workers and of the table.
 func (r *cellRun) check(ctx context.Context, said []load.Said) []string {
 	starts := func(tag string) int {
 		tags, err := r.b.Starts(ctx)
@@ -438,7 +438,7 @@
 		}
 		return tags[tag]
 	}
-	settling, cancel := context.WithTimeout(ctx, settleWithin)
+	settling, cancel := context.WithTimeout(ctx, settleTimeout)
 	defer cancel()
 	broken := load.Verify(settling, r.peer.Client(), said, starts)
 	record, err := r.b.Record(ctx)
@@ -461,14 +461,14 @@
 	defer r.mu.Unlock()
 	for i := 1; i < len(r.accepted); i++ {
 		if r.accepted[i] <= r.accepted[i-1] {
-			return []string{fmt.Sprint("edits accepted as ", r.accepted)}
+			return []string{fmt.Sprint("versions of accepted edits do not increase: ", r.accepted)}
 		}
 	}
 	if len(r.accepted) == 0 {
 		return nil
 	}
 	if err := r.b.AwaitTree(ctx, r.accepted[len(r.accepted)-1]); err != nil {
-		return []string{"an accepted edit is not in force: " + err.Error()}
+		return []string{"accepted edit not in force: " + err.Error()}
 	}
 	return nil
 }
--- a/test/proof/path_test.go
+++ b/test/proof/path_test.go
@@ -16,8 +16,8 @@
 	"dewpass.org/tree"
 )
 
-// openWindows lets work start at any hour of the day, so that a run does not
-// depend on when it is made.
+// openWindows removes the time windows of workloads, so that the outcome of a run does not
+// depend on the time of day.
 func openWindows(ctx context.Context, b *bed.Bed) {
 	paths := map[string]string{"comhar": "nightly.window", "kartvela": "belts.window"}
 	ops := []tree.Op{{Path: paths[b.Deployment.Name]}}
@@ -30,8 +30,8 @@
 	Expect(b.AwaitTree(ctx, entry.Version)).To(Succeed())
 }
 
-var _ = Describe("the whole path", func() {
-	DescribeTable("answers every kind of work at every instance",
+var _ = Describe("the path from client to worker", func() {
+	DescribeTable("answers every kind of workload at every instance",
 		func(ctx context.Context, d bed.Deployment, calls, once, jobs []string) {
 			b := startBed(ctx, d, 2)
 			openWindows(ctx, b)
--- a/test/proof/product_test.go
+++ b/test/proof/product_test.go
@@ -34,8 +34,8 @@
 	"dewpass.org/test/load"
 )
 
-// command runs the command line against a bed.
-func command(ctx context.Context, b *bed.Bed, args ...string) (code int, out string) {
+// runCommand runs the command-line client against a deployment.
+func runCommand(ctx context.Context, b *bed.Bed, args ...string) (code int, out string) {
 	cmd := exec.CommandContext(ctx, filepath.Join(binaries, "dewpass"), args...)
 	cmd.Env = append(os.Environ(), "DEWPASS_SERVER="+b.Balancer.Base)
 	raw, err := cmd.CombinedOutput()
@@ -46,11 +46,11 @@
 }
 
 var _ = Describe("the product", func() {
-	It("is driven from the command line", func(ctx context.Context) {
+	It("can be operated from the command line", func(ctx context.Context) {
 		b := startBed(ctx, bed.Comhar, 2)
 		ok := func(args ...string) string {
 			GinkgoHelper()
-			code, out := command(ctx, b, args...)
+			code, out := runCommand(ctx, b, args...)
 			Expect(code).To(BeZero(), out)
 			return out
 		}
@@ -59,14 +59,14 @@
 		ok("tree", "wait", "2")
 		Expect(ok("workload", "tinting/shade-lookup")).To(MatchRegexp(`deadline +"800ms" +tinting/shade-lookup`))
 		ok("tree", "set", "--base", "1", "nightly.class", "standard")
-		code, out := command(ctx, b, "tree", "set", "--base", "1", "tinting/shade-lookup.deadline", "900ms")
+		code, out := runCommand(ctx, b, "tree", "set", "--base", "1", "tinting/shade-lookup.deadline", "900ms")
 		Expect(code).To(Equal(4))
 		Expect(out).To(And(ContainSubstring("800ms"), ContainSubstring("900ms")))
-		code, out = command(ctx, b, "tree", "set", "tinting/shade-lookup.memory", "5GB")
+		code, out = runCommand(ctx, b, "tree", "set", "tinting/shade-lookup.memory", "5GB")
 		Expect(code).To(Equal(2))
 		Expect(out).To(ContainSubstring("/branches/tinting/branches/shade-lookup/settings/memory"))
 		ok("tree", "unset", "tinting/shade-lookup.start-within", "tinting/shade-lookup.estimate")
-		code, _ = command(ctx, b, "tree", "get", "tinting/shade-lookup.estimate")
+		code, _ = runCommand(ctx, b, "tree", "get", "tinting/shade-lookup.estimate")
 		Expect(code).To(Equal(3))
 		Expect(ok("tree", "log", "--after", "1")).To(ContainSubstring("nightly.class"))
 		Expect(ok("tree", "diff", "../../examples/comhar-dathanna.json")).To(ContainSubstring("nightly.class"))
@@ -75,9 +75,9 @@
 		Expect(json.Unmarshal([]byte(ok("status", "--output", "json")), &s)).To(Succeed())
 		Expect(s.Racks).To(HaveLen(6))
 		Eventually(func() string { return ok("jobs", "list", "--state", "running") }).Should(ContainSubstring("tintline/matcher"))
-	}, SpecTimeout(specTime))
+	}, SpecTimeout(specTimeout))
 
-	It("answers bad input with a kind and a path, and is not harmed", func(ctx context.Context) {
+	It("rejects invalid input with a kind and a path, and keeps serving", func(ctx context.Context) {
 		b := startBed(ctx, bed.Comhar, 1)
 		base := b.Entries[0].Client().Base
 		post := func(kind, path, contentType, body string) {
@@ -106,9 +106,9 @@
 		_ = conn.Close()
 		_, err = load.Call(ctx, b.Entries[0].Client(), load.NewItem("tinting/shade-lookup", time.Millisecond))
 		Expect(err).NotTo(HaveOccurred())
-	}, SpecTimeout(specTime))
+	}, SpecTimeout(specTimeout))
 
-	It("speaks TLS to callers and between instances, and takes new keys while it runs", func(ctx context.Context) {
+	It("uses TLS to callers and between instances, and reloads keys while it runs", func(ctx context.Context) {
 		dir := GinkgoT().TempDir()
 		ca := newAuthority()
 		files := keys.Files{Cert: dir + "/cert.pem", Key: dir + "/key.pem", CA: dir + "/ca.pem"}
@@ -128,7 +128,7 @@
 		}
 		Expect(serial()).To(BeEquivalentTo(1))
 		Expect(os.WriteFile(files.Cert, []byte("half a file"), 0o600)).To(Succeed())
-		Consistently(serial, 2*time.Second).Should(BeEquivalentTo(1), "a broken file cuts nobody off")
+		Consistently(serial, 2*time.Second).Should(BeEquivalentTo(1), "the former certificate must stay in use")
 		ca.issue(files, 2)
 		Eventually(serial).Should(BeEquivalentTo(2))
 		for _, p := range b.Entries {
@@ -137,9 +137,9 @@
 		}
 		stranger := &client.Client{Base: b.Entries[0].Client().Base, HTTP: &http.Client{Timeout: time.Second}}
 		Expect(stranger.Do(ctx, http.MethodGet, "/v1/status", nil, nil)).NotTo(Succeed())
-	}, SpecTimeout(specTime))
+	}, SpecTimeout(specTimeout))
 
-	It("sends a span for each hop", func(ctx context.Context) {
+	It("exports a span for each hop", func(ctx context.Context) {
 		var mu sync.Mutex
 		var seen bytes.Buffer
 		receiver := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
@@ -148,7 +148,7 @@
 			_, _ = io.Copy(&seen, r.Body)
 		}))
 		DeferCleanup(receiver.Close)
-		// With three instances for two racks, one owns nothing and forwards.
+		// With three instances for two racks, one owns no rack and forwards its calls.
 		b := startBedWith(ctx, bed.Comhar, 3, func(o *bed.Options) { o.OTLP = receiver.URL })
 		for _, p := range b.Entries {
 			_, err := load.Call(ctx, p.Client(), load.NewItem("tinting/shade-lookup", time.Millisecond))
@@ -166,10 +166,10 @@
 		raw, err := io.ReadAll(resp.Body)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(string(raw)).To(ContainSubstring("dewpass_request"))
-	}, SpecTimeout(specTime))
+	}, SpecTimeout(specTimeout))
 })
 
-// authority issues certificates for the loopback.
+// authority issues certificates for 127.0.0.1.
 type authority struct {
 	key  *ecdsa.PrivateKey
 	cert *x509.Certificate
@@ -187,10 +187,10 @@
 	Expect(err).NotTo(HaveOccurred())
 	cert, err := x509.ParseCertificate(der)
 	Expect(err).NotTo(HaveOccurred())
-	return &authority{key: key, cert: cert, pem: block("CERTIFICATE", der)}
+	return &authority{key: key, cert: cert, pem: pemBlock("CERTIFICATE", der)}
 }
 
-func block(kind string, der []byte) []byte {
+func pemBlock(kind string, der []byte) []byte {
 	return pem.EncodeToMemory(&pem.Block{Type: kind, Bytes: der})
 }
 
@@ -210,6 +210,6 @@
 	raw, err := x509.MarshalPKCS8PrivateKey(key)
 	Expect(err).NotTo(HaveOccurred())
 	Expect(os.WriteFile(f.CA, a.pem, 0o600)).To(Succeed())
-	Expect(os.WriteFile(f.Key, block("PRIVATE KEY", raw), 0o600)).To(Succeed())
-	Expect(os.WriteFile(f.Cert, block("CERTIFICATE", der), 0o600)).To(Succeed())
+	Expect(os.WriteFile(f.Key, pemBlock("PRIVATE KEY", raw), 0o600)).To(Succeed())
+	Expect(os.WriteFile(f.Cert, pemBlock("CERTIFICATE", der), 0o600)).To(Succeed())
 }
--- a/test/proof/rules_test.go
+++ b/test/proof/rules_test.go
@@ -33,7 +33,7 @@
 
 func op(path, value string) tree.Op { return tree.Op{Path: path, Value: json.RawMessage(value)} }
 
-// submitAt sends long tracing jobs to a hall's entries and waits until they
+// submitAt submits n long tracing jobs to each instance of a hall and waits until they
 // run.
 func submitAt(ctx context.Context, b *bed.Bed, hall string, n int, runs time.Duration) []load.Said {
 	GinkgoHelper()
@@ -72,12 +72,12 @@
 		return out
 	}
 
-	It("hold: its jobs go on there, and are started nowhere else", func(ctx context.Context) {
+	It("hold: its jobs keep running there, and are started nowhere else", func(ctx context.Context) {
 		b := startBed(ctx, bed.Kartvela, 2)
 		said := submitAt(ctx, b, "kutaisi-a", 3, 14*time.Second)
 		cutHall(ctx, b, "kutaisi-a")
 		time.Sleep(10 * time.Second)
-		heal(ctx, b)
+		clearFaults(ctx, b)
 		verify(ctx, b, said)
 		Expect(halls(ctx, b, said)).To(Equal(map[string]int{"kutaisi-a": len(said)}))
 		starts, err := b.Starts(ctx)
@@ -85,18 +85,18 @@
 		for _, s := range said {
 			Expect(starts[s.Item.Payload.Tag]).To(Equal(1))
 		}
-	}, SpecTimeout(specTime))
+	}, SpecTimeout(specTimeout))
 
-	It("move: they are stopped there and go on elsewhere, never in both", func(ctx context.Context) {
+	It("move: they are stopped there and resume elsewhere, never in both", func(ctx context.Context) {
 		b := startBed(ctx, bed.Kartvela, 2)
 		v := editTree(ctx, b.Balancer, 1, "move", op("tracing.cut-off", `"move"`), op("tracing.move-after", `"10s"`))
 		Expect(b.AwaitTree(ctx, v)).To(Succeed())
 		said := submitAt(ctx, b, "kutaisi-a", 3, 40*time.Second)
 		cutHall(ctx, b, "kutaisi-a")
 		Eventually(func() int { return halls(ctx, b, said)["kutaisi-a"] }).WithTimeout(time.Minute).Should(BeZero())
-		heal(ctx, b)
+		clearFaults(ctx, b)
 		verify(ctx, b, said)
-	}, SpecTimeout(specTime))
+	}, SpecTimeout(specTimeout))
 
 	It("an operator who sets a dead hall as lost frees its jobs", func(ctx context.Context) {
 		b := startBed(ctx, bed.Kartvela, 2)
@@ -116,21 +116,21 @@
 		editTree(ctx, other, 1, "lost", op(".lost", `["kutaisi-a"]`))
 		Eventually(func() int { return halls(ctx, b, said)["kutaisi-a"] }).Should(BeZero())
 		verify(ctx, b, said)
-	}, SpecTimeout(specTime))
+	}, SpecTimeout(specTimeout))
 })
 
-// treeOp is one operation on the version of the tree in the table.
+// treeOp is an operation on the version of the tree in the table: an edit or a read.
 type treeOp struct {
 	edit bool
 }
 
-// treeResult is what came of it; an edit may have an unknown end.
+// treeResult is the result of a treeOp. The outcome of an edit may be unknown.
 type treeResult struct {
 	version uint64
 	unknown bool
 }
 
-// treeModel is a register: an edit raises it by one, a read shows it.
+// treeModel is a register that an edit increments and a read returns.
 var treeModel = porcupine.Model{
 	Init: func() any { return uint64(1) },
 	Step: func(state, input, output any) (bool, any) {
@@ -147,7 +147,7 @@
 }
 
 var _ = Describe("the tree of settings", func() {
-	It("is one register to operators who race while answers are lost and instances fall", func(ctx context.Context) {
+	It("is linearizable for concurrent operators while answers are lost and instances fail", func(ctx context.Context) {
 		b := startBed(ctx, bed.Comhar, 2)
 		Expect(b.Fault(ctx, "table", standin.Faults{LoseEvery: 7})).To(Succeed())
 		var mu sync.Mutex
@@ -206,7 +206,7 @@
 		result := porcupine.CheckOperationsTimeout(treeModel, history, time.Minute)
 		Expect(result).To(Equal(porcupine.Ok))
 		Expect(b.AwaitTree(ctx, top)).To(Succeed())
-	}, SpecTimeout(specTime))
+	}, SpecTimeout(specTimeout))
 
 	It("is in force at every instance within 5 s, and never goes back after a pause, a restart and a rejoin", func(ctx context.Context) {
 		b := startBed(ctx, bed.Comhar, 2)
@@ -244,9 +244,8 @@
 		}
 		for range 3 {
 			edit()
-			// The promise is 5 s; the machine may be busy, so the verdict is
-			// left to the polls that have no time limit of their own, and the
-			// time is reported.
+			// The required maximum is 5 s. A busy machine may exceed it, so the test
+			// waits without a time limit of its own and only reports the time.
 			began := time.Now()
 			Expect(b.AwaitTree(ctx, version)).To(Succeed())
 			AddReportEntry("in force everywhere after", time.Since(began).String())
@@ -261,20 +260,20 @@
 		Expect(b.AwaitTree(ctx, version)).To(Succeed())
 		cutHall(ctx, b, "naas-hall")
 		version = editTree(ctx, b.Entries[4].Client(), version, "during", op("nightly.note", `"during"`))
-		heal(ctx, b)
+		clearFaults(ctx, b)
 		Expect(b.AwaitTree(ctx, version)).To(Succeed())
 		close(stop)
 		wg.Wait()
 		Expect(back).To(BeEmpty())
-	}, SpecTimeout(specTime))
+	}, SpecTimeout(specTimeout))
 })
 
 var _ = Describe("Kartvela's night", func() {
-	It("brings every batch, trace and parcel to one good end by the morning", func(ctx context.Context) {
+	It("completes every batch, trace and parcel once by the morning", func(ctx context.Context) {
 		b := startBed(ctx, bed.Kartvela, 2)
 		openWindows(ctx, b)
 		t := &load.Tracker{Clients: b.Clients(), Seed: 1}
-		// The evening: tracing jobs go in, with the day's last batches.
+		// The evening: tracing jobs are submitted, with the last batches of the day.
 		t.Send(ctx, load.Stream{Workload: "tracing/trace", PerSecond: 6, Runs: 6 * time.Second, Job: true, Save: 500 * time.Millisecond}, 20*time.Second)
 		t.Send(ctx, load.Stream{Workload: "belts/address-reading", PerSecond: 6, Runs: time.Second, Job: true}, 20*time.Second)
 		t.Send(ctx, load.Stream{Workload: "vans/parcel-assignment", PerSecond: 15, Runs: 50 * time.Millisecond, Once: true}, 20*time.Second)
@@ -303,5 +302,5 @@
 			Expect(s.Outcome).To(Equal(load.Accepted), "%v", s.Err)
 		}
 		verify(ctx, b, append(said, vans...))
-	}, SpecTimeout(specTime))
+	}, SpecTimeout(specTimeout))
 })
--- a/test/proof/service_test.go
+++ b/test/proof/service_test.go
@@ -35,7 +35,7 @@
 }
 
 var _ = Describe("a service", func() {
-	It("is kept at its count, up and down, through a killed owner", func(ctx context.Context) {
+	It("is kept at its count when that is raised or lowered and an owner is killed", func(ctx context.Context) {
 		b := startBed(ctx, bed.Comhar, 2)
 		version := uint64(1)
 		count := func(n string, want int) {
@@ -49,7 +49,7 @@
 		for _, j := range replicas(ctx, b) {
 			halls[j.Hall]++
 		}
-		Expect(halls).To(HaveLen(3), "spread over the halls")
+		Expect(halls).To(HaveLen(3), "replicas must be spread over the halls")
 		count("30", 30)
 		b.Entries[1].Kill()
 		count("9", 9)
@@ -58,5 +58,5 @@
 				g.Expect(j.State).To(Equal(job.Running))
 			}
 		}).WithTimeout(time.Minute).Should(Succeed())
-	}, SpecTimeout(specTime))
+	}, SpecTimeout(specTimeout))
 })
--- a/test/proof/suite_test.go
+++ b/test/proof/suite_test.go
@@ -44,8 +44,8 @@
 	Expect(err).NotTo(HaveOccurred(), string(out))
 }
 
-// startBed starts a deployment that ends with the spec. After the spec, the
-// workers' own record must show no broken promise.
+// startBed starts a deployment that is shut down when the spec ends. Before that it checks
+// the workers' own record for violated rules.
 func startBed(ctx context.Context, d bed.Deployment, perHall int) *bed.Bed {
 	GinkgoHelper()
 	return startBedWith(ctx, d, perHall, func(*bed.Options) {})
@@ -64,22 +64,22 @@
 	}
 	more(&options)
 	b, err := bed.Start(ctx, options)
-	DeferCleanup(func() { keepLogs(dir) })
+	DeferCleanup(func() { keepLogsOnFailure(dir) })
 	Expect(err).NotTo(HaveOccurred())
 	DeferCleanup(b.Close)
-	DeferCleanup(func() { keepEvents(b, dir) })
+	DeferCleanup(func() { keepEventsOnFailure(b, dir) })
 	DeferCleanup(func() {
-		judge(b)
-		Expect(races(dir)).To(BeEmpty(), "data races")
+		checkRecord(b)
+		Expect(raceReports(dir)).To(BeEmpty(), "data races")
 	})
 	return b
 }
 
-// taskLease is short, so that lapses come soon, and longer than a takeover.
+// taskLease is short, so that leases expire soon, but longer than a takeover.
 const taskLease = "8s"
 
-// keepLogs keeps the logs of a spec that failed.
-func keepLogs(dir string) {
+// keepLogsOnFailure removes the logs of a spec unless it failed.
+func keepLogsOnFailure(dir string) {
 	if CurrentSpecReport().Failed() {
 		GinkgoWriter.Println("logs are in", dir)
 		return
@@ -87,8 +87,9 @@
 	_ = os.RemoveAll(dir)
 }
 
-// races returns the logs in which the race detector spoke; see PROOF_RACE.
-func races(dir string) []string {
+// raceReports returns the log files with a report of the race detector, which runs with
+// PROOF_RACE.
+func raceReports(dir string) []string {
 	var out []string
 	logs, _ := filepath.Glob(filepath.Join(dir, "*.log"))
 	for _, log := range logs {
@@ -100,14 +101,14 @@
 	return out
 }
 
-// keepEvents keeps what the workers wrote down in a spec that failed.
-func keepEvents(b *bed.Bed, dir string) {
+// keepEventsOnFailure saves the events that the workers recorded if the spec failed.
+func keepEventsOnFailure(b *bed.Bed, dir string) {
 	if CurrentSpecReport().Failed() {
 		writeEvents(b, dir)
 	}
 }
 
-// writeEvents writes what the workers wrote down beside the logs of a deployment.
+// writeEvents writes the events that the workers recorded to events.json, beside the logs.
 func writeEvents(b *bed.Bed, dir string) {
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
@@ -117,13 +118,13 @@
 	}
 }
 
-func judge(b *bed.Bed) {
+func checkRecord(b *bed.Bed) {
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
 	s, err := b.Record(ctx)
 	Expect(err).NotTo(HaveOccurred())
-	Expect(s.Over).To(BeEmpty(), "workers given more than they have")
-	Expect(s.Doubled).To(BeEmpty(), "tasks in two places at once")
-	Expect(s.Repeated).To(BeEmpty(), "work started again that must not be")
-	Expect(s.AfterLeaving).To(BeEmpty(), "starts at leaving workers")
+	Expect(s.Over).To(BeEmpty(), "workers given more than their capacity")
+	Expect(s.Doubled).To(BeEmpty(), "tasks that ran in two places at once")
+	Expect(s.Repeated).To(BeEmpty(), "work repeated that must not be repeated")
+	Expect(s.AfterLeaving).To(BeEmpty(), "starts on leaving workers")
 }
