--- a/test/demo/cluster.go
+++ b/test/demo/cluster.go
@@ -25,24 +25,24 @@
 )
 
 const (
-	demoHost   = "jobs.example"
-	demoPrefix = "/queue/"
-	jobsPerSec = 10
-	readyTime  = 10 * time.Second
-	endTime    = 30 * time.Second
+	demoHost      = "jobs.example"
+	demoPrefix    = "/queue/"
+	jobsPerSecond = 10
+	readyTimeout  = 10 * time.Second
+	jobTimeout    = 30 * time.Second
 )
 
 var demoHalls = []string{"naas-hall", "athy-hall", "carlow-hall"}
 
-// member is one entry instance of the demo.
+// member is an entry instance of the demo.
 type member struct {
 	name, front, ready string
 	cmd                *exec.Cmd
 }
 
-// runCluster shows the path on the users' platform: stand-ins of the platform in
-// this process, entry instances as processes of their own, and jobs of two steps.
-// Half way the owner's process is killed and started again.
+// runCluster runs the demo of the cluster mode: a simulated platform in this process, entry
+// instances as processes of their own, and a load of jobs with two steps. Half way one instance
+// is killed and started again.
 func runCluster(ctx context.Context, length time.Duration, perHall int) error {
 	w, err := world.Start(world.Options{Halls: demoHalls, PerHall: 8, CPU: 16000, Mem: 32768, Seed: 1, Host: "127.0.0.1", Advice: true})
 	if err != nil {
@@ -70,14 +70,14 @@
 	}
 	l := &clusterLoad{members: members, http: &http.Client{Timeout: 4 * time.Second}}
 	fmt.Printf("%d instances, %d workers in %d halls, %d jobs a second for %s; one instance is killed half way\n",
-		len(members), len(w.Workers), len(demoHalls), jobsPerSec, length)
-	l.run(ctx, length, func() { restart(members[0]) })
+		len(members), len(w.Workers), len(demoHalls), jobsPerSecond, length)
+	l.run(ctx, length, func() { restartMember(members[0]) })
 	l.report(w)
 	if broken := w.Book.Broken(); len(broken) > 0 {
-		return errors.Errorf("broken: %s", strings.Join(broken, "; "))
+		return errors.Errorf("the workers recorded violated rules: %s", strings.Join(broken, "; "))
 	}
-	if l.undone > 0 {
-		return errors.Errorf("%d jobs were not done in time", l.undone)
+	if l.unfinished > 0 {
+		return errors.Errorf("%d jobs did not succeed in time", l.unfinished)
 	}
 	return nil
 }
@@ -88,7 +88,7 @@
 	for _, hall := range demoHalls {
 		for i := range perHall {
 			m := &member{name: fmt.Sprintf("%s-%d", hall, i+1)}
-			peer, err := m.write(w, lane, dir, hall, first)
+			peer, err := m.writeSettings(w, lane, dir, hall, first)
 			if err != nil {
 				return members, err
 			}
@@ -104,8 +104,8 @@
 	return members, nil
 }
 
-// write writes the settings of a member and returns its address for peers.
-func (m *member) write(w *world.World, lane *port.Lane, dir, hall, first string) (string, error) {
+// writeSettings writes the settings of a member and returns its address for peers.
+func (m *member) writeSettings(w *world.World, lane *port.Lane, dir, hall, first string) (string, error) {
 	addrs, err := lane.Free(3)
 	if err != nil {
 		return "", err
@@ -136,7 +136,7 @@
 	return m.cmd.Start()
 }
 
-func restart(m *member) {
+func restartMember(m *member) {
 	_ = m.cmd.Process.Kill()
 	_ = m.cmd.Wait()
 	_ = m.start()
@@ -152,7 +152,7 @@
 }
 
 func waitMembers(ctx context.Context, members []*member) error {
-	end := time.Now().Add(readyTime)
+	end := time.Now().Add(readyTimeout)
 	for _, m := range members {
 		for {
 			resp, err := http.Get("http://" + m.ready + "/dewpass/ready")
@@ -171,20 +171,20 @@
 	return nil
 }
 
-// clusterLoad sends jobs and follows them to their end.
+// clusterLoad submits jobs and follows them to their end.
 type clusterLoad struct {
 	members []*member
 	http    *http.Client
 
-	mu      sync.Mutex
-	waits   []time.Duration
-	refused int
-	undone  int
+	mu         sync.Mutex
+	latencies  []time.Duration
+	refused    int
+	unfinished int
 }
 
 func (l *clusterLoad) run(ctx context.Context, length time.Duration, halfway func()) {
 	var all sync.WaitGroup
-	tick := time.NewTicker(time.Second / jobsPerSec)
+	tick := time.NewTicker(time.Second / jobsPerSecond)
 	defer tick.Stop()
 	half := time.AfterFunc(length/2, halfway)
 	defer half.Stop()
@@ -192,7 +192,7 @@
 	for n := 0; ; n++ {
 		select {
 		case <-tick.C:
-			all.Go(func() { l.one(ctx, n) })
+			all.Go(func() { l.runJob(ctx, n) })
 			continue
 		case <-end:
 		case <-ctx.Done():
@@ -205,11 +205,11 @@
 const demoJob = `{"spec":"ms=200 cpu=1000 mem=500","steps":[{"count":6,"cpu":1000,"mem_mb":500,"estimate_ms":200},` +
 	`{"count":6,"cpu":1000,"mem_mb":500,"estimate_ms":200,"depends_on":[0]}]}`
 
-// one hands a job in, again where it was refused, and waits for its end.
-func (l *clusterLoad) one(ctx context.Context, n int) {
+// runJob submits a job, retries where it was refused, and waits until it has succeeded.
+func (l *clusterLoad) runJob(ctx context.Context, n int) {
 	id := fmt.Sprintf("%016x", rand.Uint64())
 	begun := time.Now()
-	for time.Since(begun) < endTime && ctx.Err() == nil {
+	for time.Since(begun) < jobTimeout && ctx.Err() == nil {
 		status, _ := l.call(ctx, n, http.MethodPost, id, demoJob)
 		n++
 		if status == http.StatusOK {
@@ -220,19 +220,19 @@
 		l.mu.Unlock()
 		time.Sleep(100 * time.Millisecond)
 	}
-	for time.Since(begun) < endTime && ctx.Err() == nil {
+	for time.Since(begun) < jobTimeout && ctx.Err() == nil {
 		status, body := l.call(ctx, n, http.MethodGet, id, "")
 		n++
 		if status == http.StatusOK && strings.Contains(body, "succeeded") {
 			l.mu.Lock()
-			l.waits = append(l.waits, time.Since(begun))
+			l.latencies = append(l.latencies, time.Since(begun))
 			l.mu.Unlock()
 			return
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
 	l.mu.Lock()
-	l.undone++
+	l.unfinished++
 	l.mu.Unlock()
 }
 
@@ -253,12 +253,12 @@
 }
 
 func (l *clusterLoad) report(w *world.World) {
-	slices.Sort(l.waits)
+	slices.Sort(l.latencies)
 	at := func(q float64) time.Duration {
-		if len(l.waits) == 0 {
+		if len(l.latencies) == 0 {
 			return 0
 		}
-		return l.waits[int(q*float64(len(l.waits)-1))].Round(time.Millisecond)
+		return l.latencies[int(q*float64(len(l.latencies)-1))].Round(time.Millisecond)
 	}
 	starts := w.Book.Starts()
 	ends := make(map[string]int)
@@ -266,8 +266,8 @@
 		ends[s.How]++
 	}
 	fmt.Println()
-	fmt.Printf("%-34s %d\n", "jobs done", len(l.waits))
-	fmt.Printf("%-34s %d\n", "jobs not done in time", l.undone)
+	fmt.Printf("%-34s %d\n", "jobs done", len(l.latencies))
+	fmt.Printf("%-34s %d\n", "jobs not done in time", l.unfinished)
 	fmt.Printf("%-34s %d\n", "tries refused or without an answer", l.refused)
 	fmt.Printf("%-34s %s, %s, %s\n", "from handing in to shown: p50 p99 max", at(0.5), at(0.99), at(1))
 	fmt.Printf("%-34s %d, of them done %d\n", "runs started", len(starts), ends["done"])
--- a/test/demo/main.go
+++ b/test/demo/main.go
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
 // Command demo starts a whole deployment on this machine, sends it a mixed
-// load, prints what came of it, and fails if any answer was wrong, lost or
-// doubled or any worker was given more than it has.
+// load, prints a report, and fails if any answer was wrong, lost or duplicated
+// or any worker was given more than its capacity.
 package main
 
 import (
@@ -24,8 +24,8 @@
 )
 
 func main() {
-	deployment := flag.String("deployment", "comhar", "comhar, kartvela, or platform: the path on the users' platform")
-	seconds := flag.Int("seconds", 20, "length of the load")
+	deployment := flag.String("deployment", "comhar", "comhar, kartvela, or platform: instances in cluster mode on a simulated platform")
+	seconds := flag.Int("seconds", 20, "duration of the load in seconds")
 	perHall := flag.Int("per-hall", 2, "entry instances in each hall")
 	keep := flag.Bool("keep-logs", false, "keep the logs")
 	flag.Parse()
@@ -44,7 +44,7 @@
 	}
 }
 
-// mixes are the loads of the two deployments.
+// mixes are the loads of the two deployments, by the deployment's name.
 var mixes = map[string][]load.Stream{
 	"comhar": {
 		{Workload: "tinting/shade-lookup", PerSecond: 200, Runs: 8 * time.Millisecond},
@@ -60,20 +60,20 @@
 	},
 }
 
-// windows are the paths of the windows that the demo takes out of the tree,
-// because it has to run at any hour of the day.
+// windows are the paths of the time windows that the demo removes from the
+// tree, because it has to run at any hour of the day.
 var windows = map[string][]string{
 	"comhar":   {"nightly.window"},
 	"kartvela": {"belts.window", "vans/route-plan.window"},
 }
 
-// settle is how long jobs may still take after the load has ended.
-const settle = 25 * time.Second
+// settleTime is the maximum time that jobs may take after the load has ended.
+const settleTime = 25 * time.Second
 
 func run(ctx context.Context, name string, length time.Duration, perHall int, keep bool) error {
 	d, ok := bed.Named(name)
 	if !ok {
-		return errors.Errorf("no deployment %q: comhar or kartvela", name)
+		return errors.Errorf("unknown deployment %q: want comhar, kartvela or platform", name)
 	}
 	dir, err := os.MkdirTemp("", "dewpass-demo")
 	if err != nil {
@@ -103,7 +103,7 @@
 	}
 	before := usages(b)
 	began := time.Now()
-	results := load.Run(ctx, b.Balancer, mixes[name], length, settle, progress)
+	results := load.Run(ctx, b.Balancer, mixes[name], length, settleTime, progress)
 	return report(ctx, b, results, before, time.Since(began))
 }
 
@@ -141,11 +141,11 @@
 	}
 	fmt.Printf("\npacking: scarcest resource in use %.0f%% on average, %.0f%% at most\n",
 		100*record.MeanShare, 100*record.PeakShare)
-	control(b, before, record.Starts, took)
+	reportUsage(b, before, record.Starts, took)
 	fmt.Printf("workers' own record: %d starts, %d over capacity, %d in two places, %d repeated that must not be, %d calls cut\n",
 		record.Starts, len(record.Over), len(record.Doubled), len(record.Repeated), len(record.Cut))
 	if !record.OK() {
-		return errors.Errorf("a promise was broken: %+v", record)
+		return errors.Errorf("the workers recorded violated rules: %+v", record)
 	}
 	for _, r := range results {
 		if r.Wrong+r.Lost > 0 {
@@ -155,8 +155,8 @@
 	return nil
 }
 
-// control prints what the entry instances used.
-func control(b *bed.Bed, before []bed.Usage, starts int, took time.Duration) {
+// reportUsage prints the processor time and memory that the instances used.
+func reportUsage(b *bed.Bed, before []bed.Usage, starts int, took time.Duration) {
 	var cpu time.Duration
 	var peak, anon int64
 	for i, u := range usages(b) {
