--- a/test/measure/bed.go
+++ b/test/measure/bed.go
@@ -13,19 +13,19 @@
 	"dewpass.org/test/bed"
 )
 
-// shape is the shape of a cell to measure.
+// shape is the size and layout of a cell to measure.
 type shape struct {
 	halls, perHall, racks, workersPerRack int
-	// farPerHall and farRacks are those of all halls but the first, if not 0.
+	// farPerHall and farRacks apply to all halls but the first, if not 0.
 	farPerHall, farRacks int
-	// servicesHere keeps all services in the first hall.
-	servicesHere bool
+	// servicesInFirstHall restricts all services to the first hall.
+	servicesInFirstHall bool
 }
 
 var workerSize = sched.Vec{16000, 32 << 10, 0, 8, 64}
 
-// start starts a cell of a shape with a tree of one call, one batch workload
-// and one service.
+// start starts a cell of a shape, with a tree of two call workloads, one batch
+// workload and one service.
 func start(ctx context.Context, s shape) (*bed.Bed, func(), error) {
 	d := bed.Deployment{
 		Name: "measure", Capacity: workerSize,
@@ -36,7 +36,7 @@
 		d.Halls = append(d.Halls, fmt.Sprintf("hall-%d", i+1))
 	}
 	named := d.Halls
-	if s.servicesHere {
+	if s.servicesInFirstHall {
 		named = named[:1]
 	}
 	doc, err := json.Marshal(treeOf(named))
@@ -50,7 +50,7 @@
 	}
 	b, err := bed.Start(ctx, bed.Options{
 		Deployment: d, PerHall: s.perHall, Dir: dir,
-		Dewpass: beside("dewpass"), StandIn: beside("standin"),
+		Dewpass: siblingPath("dewpass"), StandIn: siblingPath("standin"),
 	})
 	if err != nil {
 		return nil, nil, err
@@ -76,7 +76,7 @@
 	}
 }
 
-// sample is what a process used in a span of time.
+// sample is the resource usage of a process over a period.
 type sample struct {
 	cpu      float64 // percent of a core
 	bytes    float64 // read and written, a second
@@ -84,8 +84,8 @@
 	anon     float64 // MiB
 }
 
-// watch samples an entry over a span.
-func watch(p *bed.Process, span time.Duration) sample {
+// sampleUsage measures the resource usage of a process over a period.
+func sampleUsage(p *bed.Process, span time.Duration) sample {
 	before, began := p.Usage(), time.Now()
 	time.Sleep(span)
 	after, took := p.Usage(), time.Since(began).Seconds()
@@ -97,7 +97,7 @@
 	}
 }
 
-// line is a straight line through points.
+// line is a fitted straight line.
 type line struct{ slope, intercept, r2 float64 }
 
 // fit fits a line by least squares.
@@ -123,28 +123,29 @@
 	return l
 }
 
-// series collects samples by a size and prints them with their slopes.
+// series collects samples by the size that varies, and prints them with the slopes of
+// their columns.
 type series struct {
-	what string
-	x    []float64
-	got  []sample
+	quantity string
+	x        []float64
+	samples  []sample
 }
 
 func (s *series) add(x float64, got sample) {
 	s.x = append(s.x, x)
-	s.got = append(s.got, got)
+	s.samples = append(s.samples, got)
 	fmt.Printf("%-14s %8.0f   cpu %6.2f %%   %9.0f B/s   resident %5.1f MiB   anonymous %5.1f MiB\n",
-		s.what, x, got.cpu, got.bytes, got.resident, got.anon)
+		s.quantity, x, got.cpu, got.bytes, got.resident, got.anon)
 }
 
-func (s *series) slopes() {
+func (s *series) printSlopes() {
 	column := func(name, unit string, f func(sample) float64) {
-		y := make([]float64, len(s.got))
-		for i := range s.got {
-			y[i] = f(s.got[i])
+		y := make([]float64, len(s.samples))
+		for i := range s.samples {
+			y[i] = f(s.samples[i])
 		}
 		l := fit(s.x, y)
-		fmt.Printf("  slope of %-9s %10.4f %s for one of %s, from %.2f (r2 %.3f)\n", name, l.slope, unit, s.what, l.intercept, l.r2)
+		fmt.Printf("  slope of %-9s %10.4f %s for one of %s, from %.2f (r2 %.3f)\n", name, l.slope, unit, s.quantity, l.intercept, l.r2)
 	}
 	column("cpu", "%", func(s sample) float64 { return s.cpu })
 	column("bytes", "B/s", func(s sample) float64 { return s.bytes })
--- a/test/measure/main.go
+++ b/test/measure/main.go
@@ -16,7 +16,7 @@
 	"syscall"
 )
 
-// measurement is one table.
+// measurement runs one measurement and prints its table.
 type measurement func(ctx context.Context) error
 
 var measurements = map[string]measurement{
@@ -30,10 +30,10 @@
 	"peers":    peers,
 	"halls":    halls,
 	"takeover": takeover,
-	"whole":    whole,
+	"whole":    designHall,
 }
 
-// capacity lists what `make capacity` runs, in order.
+// capacity lists the measurements that `make capacity` runs, in order.
 var capacity = []string{"workers", "tasks", "starts", "jobs", "changes", "peers", "halls", "takeover", "whole"}
 
 func main() {
@@ -70,8 +70,8 @@
 	}
 }
 
-// beside returns the path of a file beside this binary.
-func beside(name string) string {
+// siblingPath returns the path of a file in the directory of this binary.
+func siblingPath(name string) string {
 	self, err := os.Executable()
 	if err != nil {
 		return name
--- a/test/measure/slopes.go
+++ b/test/measure/slopes.go
@@ -19,34 +19,34 @@
 )
 
 const (
-	settle = 4 * time.Second
-	span   = 8 * time.Second
+	settleTime   = 4 * time.Second
+	samplePeriod = 8 * time.Second
 )
 
-// workers measures one entry that owns more and more idle workers.
+// workers measures one instance by the number of idle workers that it owns.
 func workers(ctx context.Context) error {
-	s := series{what: "workers"}
+	s := series{quantity: "workers"}
 	for _, racks := range []int{6, 19, 47, 113} {
 		b, end, err := start(ctx, shape{halls: 1, perHall: 1, racks: racks, workersPerRack: 8})
 		if err != nil {
 			return err
 		}
-		time.Sleep(settle)
-		s.add(float64(racks*8), watch(b.Entries[0], span))
+		time.Sleep(settleTime)
+		s.add(float64(racks*8), sampleUsage(b.Entries[0], samplePeriod))
 		end()
 	}
-	s.slopes()
+	s.printSlopes()
 	return nil
 }
 
-// tasks measures one entry with more and more tasks that only run.
+// tasks measures one instance by the number of running tasks.
 func tasks(ctx context.Context) error {
 	b, end, err := start(ctx, shape{halls: 1, perHall: 1, racks: 47, workersPerRack: 8})
 	if err != nil {
 		return err
 	}
 	defer end()
-	s := series{what: "running tasks"}
+	s := series{quantity: "running tasks"}
 	for _, n := range []int{0, 400, 1000, 2000} {
 		if err := setTree(ctx, b, "service.count", fmt.Sprint(n)); err != nil {
 			return err
@@ -54,10 +54,10 @@
 		if err := awaitStarts(ctx, b, n); err != nil {
 			return err
 		}
-		time.Sleep(settle)
-		s.add(float64(n), watch(b.Entries[0], span))
+		time.Sleep(settleTime)
+		s.add(float64(n), sampleUsage(b.Entries[0], samplePeriod))
 	}
-	s.slopes()
+	s.printSlopes()
 	return nil
 }
 
@@ -71,10 +71,10 @@
 	return c.Do(ctx, http.MethodPost, "/v1/tree/edits", e, nil)
 }
 
-const startsWithin = 90 * time.Second
+const startsTimeout = 90 * time.Second
 
 func awaitStarts(ctx context.Context, b *bed.Bed, n int) error {
-	ctx, cancel := context.WithTimeout(ctx, startsWithin)
+	ctx, cancel := context.WithTimeout(ctx, startsTimeout)
 	defer cancel()
 	for {
 		r, err := b.Record(ctx)
@@ -88,48 +88,48 @@
 	}
 }
 
-// rated measures one entry under more and more of one kind of work.
-func rated(ctx context.Context, what string, rates []float64, stream load.Stream) error {
+// measureRates measures one instance at several rates of one kind of work.
+func measureRates(ctx context.Context, what string, rates []float64, stream load.Stream) error {
 	b, end, err := start(ctx, shape{halls: 1, perHall: 1, racks: 7, workersPerRack: 8})
 	if err != nil {
 		return err
 	}
 	defer end()
-	time.Sleep(settle)
-	s := series{what: what}
+	time.Sleep(settleTime)
+	s := series{quantity: what}
 	for _, r := range rates {
 		if r > 0 {
 			stream.PerSecond = r
-			go load.Run(ctx, b.Entries[0].Client(), []load.Stream{stream}, settle/2+span, settle, nil)
+			go load.Run(ctx, b.Entries[0].Client(), []load.Stream{stream}, settleTime/2+samplePeriod, settleTime, nil)
 		}
-		time.Sleep(settle / 2)
-		s.add(r, watch(b.Entries[0], span))
-		time.Sleep(settle / 2)
+		time.Sleep(settleTime / 2)
+		s.add(r, sampleUsage(b.Entries[0], samplePeriod))
+		time.Sleep(settleTime / 2)
 	}
-	s.slopes()
+	s.printSlopes()
 	return nil
 }
 
-// starts measures calls a second.
+// starts measures one instance by calls per second.
 func starts(ctx context.Context) error {
-	return rated(ctx, "calls a second", []float64{0, 50, 100, 200, 400}, load.Stream{Workload: "call", Runs: 5 * time.Millisecond})
+	return measureRates(ctx, "calls a second", []float64{0, 50, 100, 200, 400}, load.Stream{Workload: "call", Runs: 5 * time.Millisecond})
 }
 
-// jobs measures jobs a second, from acceptance to the end.
+// jobs measures one instance by jobs per second, from acceptance to the end.
 func jobs(ctx context.Context) error {
-	return rated(ctx, "jobs a second", []float64{0, 20, 50, 100}, load.Stream{Workload: "batch", Runs: 200 * time.Millisecond, Job: true})
+	return measureRates(ctx, "jobs a second", []float64{0, 20, 50, 100}, load.Stream{Workload: "batch", Runs: 200 * time.Millisecond, Job: true})
 }
 
-// changes measures changes of the tree, at an instance that is not the one
-// that takes them in.
+// changes measures changes of the tree per second, at an instance other than the one
+// that accepts them.
 func changes(ctx context.Context) error {
 	b, end, err := start(ctx, shape{halls: 1, perHall: 2, racks: 6, workersPerRack: 8})
 	if err != nil {
 		return err
 	}
 	defer end()
-	time.Sleep(settle)
-	s := series{what: "changes a second"}
+	time.Sleep(settleTime)
+	s := series{quantity: "changes a second"}
 	for _, r := range []float64{0, 1, 3, 6} {
 		stop := make(chan struct{})
 		if r > 0 {
@@ -146,64 +146,64 @@
 				}
 			}()
 		}
-		s.add(r, watch(b.Entries[1], span))
+		s.add(r, sampleUsage(b.Entries[1], samplePeriod))
 		close(stop)
 	}
-	s.slopes()
+	s.printSlopes()
 	return nil
 }
 
-// peers measures one instance among more and more of its hall.
+// peers measures one instance by the number of other instances in its hall.
 func peers(ctx context.Context) error {
-	s := series{what: "peers"}
+	s := series{quantity: "peers"}
 	for _, n := range []int{2, 4, 7, 10} {
 		b, end, err := start(ctx, shape{halls: 1, perHall: n, racks: n, workersPerRack: 8})
 		if err != nil {
 			return err
 		}
-		time.Sleep(settle)
-		s.add(float64(n-1), watch(b.Entries[0], span))
+		time.Sleep(settleTime)
+		s.add(float64(n-1), sampleUsage(b.Entries[0], samplePeriod))
 		end()
 	}
-	s.slopes()
+	s.printSlopes()
 	return nil
 }
 
-// halls measures one instance among more and more halls of two instances.
+// halls measures one instance by the number of other halls, with two instances each.
 func halls(ctx context.Context) error {
-	s := series{what: "other halls"}
+	s := series{quantity: "other halls"}
 	for _, n := range []int{1, 4, 8, 16} {
 		b, end, err := start(ctx, shape{halls: n, perHall: 2, racks: 1, workersPerRack: 4})
 		if err != nil {
 			return err
 		}
-		time.Sleep(settle)
-		s.add(float64(n-1), watch(b.Entries[0], span))
+		time.Sleep(settleTime)
+		s.add(float64(n-1), sampleUsage(b.Entries[0], samplePeriod))
 		end()
 	}
-	s.slopes()
+	s.printSlopes()
 	return nil
 }
 
-// takeover measures how long it takes until all racks of a hall that lost half
-// of its instances are owned again with every worker attached.
+// takeover measures the time until all racks of a hall that lost half of its
+// instances are owned again with every worker attached.
 func takeover(ctx context.Context) error {
 	for _, racks := range []int{2, 6, 47} {
-		if err := takeoverOf(ctx, racks); err != nil {
+		if err := measureTakeover(ctx, racks); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func takeoverOf(ctx context.Context, racks int) error {
+func measureTakeover(ctx context.Context, racks int) error {
 	const instances = 4
 	b, end, err := start(ctx, shape{halls: 1, perHall: instances, racks: racks, workersPerRack: 8})
 	if err != nil {
 		return err
 	}
 	defer end()
-	time.Sleep(settle)
+	time.Sleep(settleTime)
 	before, err := b.Commits(ctx)
 	if err != nil {
 		return err
@@ -232,10 +232,10 @@
 	return nil
 }
 
-// awaitOwners waits until every rack is owned by a process that runs. The
-// summaries of those that are gone are believed for a moment.
+// awaitOwners waits until every rack is owned by a running process. Owners that do not run
+// are ignored, because peers believe the summaries of killed instances for a moment.
 func awaitOwners(ctx context.Context, b *bed.Bed, racks int) error {
-	ctx, cancel := context.WithTimeout(ctx, startsWithin)
+	ctx, cancel := context.WithTimeout(ctx, startsTimeout)
 	defer cancel()
 	running := make(map[string]bool)
 	for _, p := range b.Entries {
@@ -263,12 +263,11 @@
 	}
 }
 
-// warmPart is the part of the calls, as one in this many, that come before
-// those that are measured: some seconds, so that the collector's target has
-// followed the load.
-const warmPart = 4
+// warmupDivisor is the part of the calls, one in warmupDivisor, that is not measured. They
+// take some seconds, after which the garbage collector has adapted to the load.
+const warmupDivisor = 4
 
-// latency measures a call straight to a worker against one through dewpass.
+// latency compares the latency of a call directly to a worker with one through dewpass.
 func latency(ctx context.Context) error {
 	const calls = 20000
 	direct, err := directLatency(ctx, calls)
@@ -287,7 +286,7 @@
 		if _, err := load.Call(ctx, c, load.Item{Workload: "call", Shop: "s", Deadline: time.Second}); err != nil {
 			return err
 		}
-		if i >= calls/warmPart {
+		if i >= calls/warmupDivisor {
 			_ = through.RecordValue(time.Since(began).Microseconds())
 		}
 	}
@@ -298,8 +297,8 @@
 	return nil
 }
 
-// directLatency calls a stand-in worker that nobody owns, in a process of its
-// own as it is behind dewpass.
+// directLatency measures calls to a simulated worker without an owner. The worker is a
+// process of its own, as it is behind dewpass.
 func directLatency(ctx context.Context, calls int) (*hdrhistogram.Histogram, error) {
 	b, end, err := start(ctx, shape{halls: 1, racks: 1, workersPerRack: 1})
 	if err != nil {
@@ -321,7 +320,7 @@
 		if _, err := api.Start(ctx, cmd, t, time.Hour); err != nil {
 			return nil, err
 		}
-		if i >= calls/warmPart {
+		if i >= calls/warmupDivisor {
 			_ = h.RecordValue(time.Since(began).Microseconds())
 		}
 	}
--- a/test/measure/waits.go
+++ b/test/measure/waits.go
@@ -14,8 +14,8 @@
 	"dewpass.org/tree"
 )
 
-// waits measures lookups on real processes: unloaded, with a full cell of
-// batch, and with a tenfold burst on top.
+// waits measures the latency of lookups on real processes: unloaded, with batch jobs that
+// fill the cell, and with a tenfold burst of lookups on top.
 func waits(ctx context.Context) error {
 	lookup := load.Stream{Workload: "tinting/shade-lookup", PerSecond: 100, Runs: 8 * time.Millisecond}
 	batch := load.Stream{Workload: "nightly/recalibration", PerSecond: 60, Runs: 6 * time.Second, Job: true}
@@ -29,14 +29,14 @@
 		{"batch fills the cell", []load.Stream{lookup, batch}},
 		{"and a tenfold burst", []load.Stream{burst, batch}},
 	} {
-		if err := waitsOf(ctx, c.name, c.streams); err != nil {
+		if err := measureWaits(ctx, c.name, c.streams); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func waitsOf(ctx context.Context, name string, streams []load.Stream) error {
+func measureWaits(ctx context.Context, name string, streams []load.Stream) error {
 	dir, err := os.MkdirTemp("", "dewpass-measure")
 	if err != nil {
 		return err
@@ -44,7 +44,7 @@
 	defer os.RemoveAll(dir)
 	b, err := bed.Start(ctx, bed.Options{
 		Deployment: bed.Comhar, PerHall: 2, Dir: dir,
-		Dewpass: beside("dewpass"), StandIn: beside("standin"), Examples: beside("../examples"),
+		Dewpass: siblingPath("dewpass"), StandIn: siblingPath("standin"), Examples: siblingPath("../examples"),
 	})
 	if err != nil {
 		return err
