--- a/test/cluster/hangup_test.go
+++ b/test/cluster/hangup_test.go
@@ -31,8 +31,8 @@
 				continue
 			}
 			guarded++
-			// The process opens its settings and blocks on them as long as they are open for writing,
-			// or it has exited.
+			// The process reads its settings, on which it blocks as long as they are open for
+			// writing, or it has exited.
 			var settings *os.File
 			Eventually(func() bool {
 				var err error
--- a/test/cluster/thinlink_test.go
+++ b/test/cluster/thinlink_test.go
@@ -103,8 +103,8 @@
 // The configuration came to more than 1 MB on the wire. Each instance read all of it
 // every 0.9 s, in addition to the feed that carries the changes, so the link was nearly
 // full before anything changed. A new version on the feed then shared the link with
-// these reads, with the same calls made on behalf of peers, and with the instance's
-// own calls through its peers.
+// these reads, with the same calls made on behalf of peers, and with the requests of
+// peers to each other.
 //
 // Every call to the store had a limit on its total duration (1.5 s for a read, 1.2 s
 // through a peer, the wait plus 1.5 s for the feed), whatever the size of the answer. A
