--- a/expiry/expiry.go
+++ b/expiry/expiry.go
@@ -164,7 +164,7 @@
 // SweepInstances removes the rows of instances that were not used for instanceRetention, and
 // returns how many were removed.
 func (s *Sweeper) SweepInstances(ctx context.Context, now time.Time) (int, error) {
-	members, err := s.unusedRows(ctx, hall.MemberPrefix(s.Hall), hall.MemberSeen, now)
+	members, err := s.unusedRows(ctx, hall.MemberPrefix(s.Hall), hall.HeartbeatTime, now)
 	if err != nil {
 		return 0, err
 	}
--- a/hall/coordinator.go
+++ b/hall/coordinator.go
@@ -59,8 +59,8 @@
 	Drop(rack string)
 	// Owned returns the epochs of the racks that are owned.
 	Owned() map[string]lease.Epoch
-	// Workers passes on the platform's list of instances, with the workers of the hall.
-	Workers(list []ports.Instance)
+	// SetWorkers passes on the platform's list of instances, with the workers of the hall.
+	SetWorkers(list []ports.Instance)
 }
 
 // Sender sends a message to a peer.
@@ -222,7 +222,7 @@
 		}
 	}
 	if !list.Unchanged {
-		k.Racks.Workers(directory)
+		k.Racks.SetWorkers(directory)
 	}
 }
 
--- a/hall/hall_test.go
+++ b/hall/hall_test.go
@@ -175,7 +175,7 @@
 	return out
 }
 
-func (r *fakeRacks) Workers([]ports.Instance) {}
+func (r *fakeRacks) SetWorkers([]ports.Instance) {}
 
 // fixedInstances is a list of instances that never changes.
 type fixedInstances []ports.Instance
--- a/hall/rows.go
+++ b/hall/rows.go
@@ -36,9 +36,9 @@
 // MemberPrefix returns the prefix of the keys of the member rows of a hall.
 func MemberPrefix(hall string) string { return memberPrefix + hall + "/" }
 
-// MemberSeen returns the time of the last heartbeat in the value of a member row,
+// HeartbeatTime returns the time of the last heartbeat in the value of a member row,
 // by the clock of the instance that wrote it.
-func MemberSeen(raw []byte) (time.Time, bool) {
+func HeartbeatTime(raw []byte) (time.Time, bool) {
 	var r memberRow
 	if err := json.Unmarshal(raw, &r); err != nil || r.At == 0 {
 		return time.Time{}, false
--- a/owner/owner_test.go
+++ b/owner/owner_test.go
@@ -217,7 +217,7 @@
 	It("removes a worker that is listed no more, once its leases have expired", func() {
 		c := newFixture()
 		o := c.startOwner("o1", 1, connect, c.workers)
-		o.Workers(c.workers[:1])
+		o.SetWorkers(c.workers[:1])
 		Consistently(func() uint32 { return o.Summary()[0].Workers }, time.Second).Should(BeEquivalentTo(2), "the list is only a hint")
 		c.stop("w2")
 		Eventually(func() uint32 { return o.Summary()[0].Workers }).Should(BeEquivalentTo(1))
--- a/owner/racks.go
+++ b/owner/racks.go
@@ -103,8 +103,8 @@
 	return out
 }
 
-// Workers implements hall.Racks.
-func (o *Owner) Workers(list []ports.Instance) {
+// SetWorkers implements hall.Racks.
+func (o *Owner) SetWorkers(list []ports.Instance) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.listedWorkers = 0
--- a/owner/report_test.go
+++ b/owner/report_test.go
@@ -144,7 +144,7 @@
 	for i := range workers {
 		workers[i].Leaving = workers[i].Addr == l.firstWorker()
 	}
-	o.Workers(workers)
+	o.SetWorkers(workers)
 	Eventually(l.stopped).Should(BeClosed())
 	time.Sleep(applyTime)
 	close(l.release)
