--- a/cluster/accept.go
+++ b/cluster/accept.go
@@ -70,7 +70,7 @@
 	}
 	level.Info(n.kit.Log).Log("event", "accepted", "job", spec.ID, "queue", spec.Queue, "account", spec.Account, "config", n.config.Version(), "cell", k.cells[0], "cells", len(k.cells), "fresh", k.fresh, "version", k.ver, "took_ms", clock.Since(begun).Milliseconds())
 	n.kit.Scope.Counter("jobs_accepted_total").Inc(1)
-	n.kit.Scope.Histogram("accept_seconds", telemetry.Latency()).RecordDuration(clock.Since(begun))
+	n.kit.Scope.Histogram("accept_seconds", telemetry.LatencyBuckets()).RecordDuration(clock.Since(begun))
 	n.jobCells.set(spec.ID, k.cells)
 	// The same write may have been sent twice, and this answer may be that of the second one:
 	// the owner is notified in any case.
@@ -136,7 +136,7 @@
 func (n *Instance) refuse(id, why string) error {
 	level.Info(n.kit.Log).Log("event", "refused", "job", id, "why", why, "last", true)
 	n.kit.Scope.Counter("jobs_refused_total").Inc(1)
-	return kind.New(kind.Unavailable, why).After(n.retryAfter(id))
+	return kind.New(kind.Unavailable, why).WithRetryAfter(n.retryAfter(id))
 }
 
 // retryAfter returns after what time a caller that is refused now should retry. id spreads the
@@ -226,17 +226,17 @@
 		case !kind.Is(err, kind.Unavailable):
 			uncertain = true
 			if !n.storeClient.Reachable() {
-				return storedJob{}, kind.Of(err).Uncertain(spec.ID)
+				return storedJob{}, kind.Of(err).WithUnknownOutcome(spec.ID)
 			}
 		case !uncertain && !n.storeClient.Reachable():
-			return storedJob{}, kind.Of(err).After(n.retryAfter(spec.ID))
+			return storedJob{}, kind.Of(err).WithRetryAfter(n.retryAfter(spec.ID))
 		}
 		sleep(ctx, acceptRetryPause)
 		if ctx.Err() != nil && !uncertain {
-			return storedJob{}, kind.New(kind.Unavailable, "the store accepts no writes at present").After(n.retryAfter(spec.ID))
+			return storedJob{}, kind.New(kind.Unavailable, "the store accepts no writes at present").WithRetryAfter(n.retryAfter(spec.ID))
 		}
 		if ctx.Err() != nil {
-			return storedJob{}, kind.New(kind.Lost, "the store has not answered").Uncertain(spec.ID)
+			return storedJob{}, kind.New(kind.Lost, "the store has not answered").WithUnknownOutcome(spec.ID)
 		}
 	}
 }
--- a/cluster/advise_test.go
+++ b/cluster/advise_test.go
@@ -34,7 +34,7 @@
 
 func testInstance(p *fakePolicy) *Instance {
 	s := &settings.Settings{Instance: "me", Hall: "h", Cluster: &settings.Cluster{Cells: 1}}
-	return newInstance(s, telemetry.Quiet(), Services{
+	return newInstance(s, telemetry.NewNop(), Services{
 		Advisor: p, Configs: func(rows.Store) ConfigSource { return nil },
 	})
 }
--- a/cluster/configs.go
+++ b/cluster/configs.go
@@ -77,7 +77,7 @@
 	n.kit.Scope.Counter("calls_unauthorized_total").Inc(1)
 	level.Info(n.kit.Log).Log("event", "unauthorized", "queue", queue, "config", n.config.Version(), "age_ms", age.Milliseconds())
 	if heard == nil || age > configFreshTime {
-		return kind.New(kind.Unavailable, "the configuration may be older than the key").After(retry.MinDelay)
+		return kind.New(kind.Unavailable, "the configuration may be older than the key").WithRetryAfter(retry.MinDelay)
 	}
 	return kind.New(kind.Unauthorized, "the queue needs a valid key of a client account")
 }
@@ -222,7 +222,7 @@
 	}
 	scope.Counter("config_transfers_total").Inc(1)
 	scope.Counter("config_bytes_total").Inc(int64(len(c.Raw)))
-	scope.Histogram("config_transfer_seconds", telemetry.Latency()).RecordDuration(took)
+	scope.Histogram("config_transfer_seconds", telemetry.LatencyBuckets()).RecordDuration(took)
 	n.install(c, from)
 }
 
--- a/cluster/jobs.go
+++ b/cluster/jobs.go
@@ -239,7 +239,7 @@
 func (n *Instance) askOwner(ctx context.Context, cell, id string, cancelJob bool) (flow.State, error) {
 	o := n.members.owner(cell, clock.Now())
 	if o == nil {
-		return "", kind.New(kind.Unavailable, "no owner of the cell is known").After(n.retryAfter(id))
+		return "", kind.New(kind.Unavailable, "no owner of the cell is known").WithRetryAfter(n.retryAfter(id))
 	}
 	limit := askTimeout
 	if cancelJob {
@@ -293,11 +293,11 @@
 // store is known to be unreachable.
 func (n *Instance) readJobRow(ctx context.Context, key rows.Key) (rows.Row, error) {
 	if n.storeClient.KnownUnreachable() {
-		return rows.Row{}, kind.New(kind.Unavailable, "the store is not reached").After(n.retryAfter(key.Name))
+		return rows.Row{}, kind.New(kind.Unavailable, "the store is not reached").WithRetryAfter(n.retryAfter(key.Name))
 	}
 	page, err := n.storeClient.Get(ctx, rows.KeyRange(key))
 	if err != nil {
-		return rows.Row{}, kind.Wrap(kind.Unavailable, err, "the job's row in "+key.Table).After(n.retryAfter(key.Name))
+		return rows.Row{}, kind.Wrap(kind.Unavailable, err, "the job's row in "+key.Table).WithRetryAfter(n.retryAfter(key.Name))
 	}
 	return page.First(), nil
 }
@@ -316,7 +316,7 @@
 		}
 		sleep(ctx, cancelRetryPause)
 		if ctx.Err() != nil {
-			return kind.Of(err).After(n.retryAfter(id))
+			return kind.Of(err).WithRetryAfter(n.retryAfter(id))
 		}
 	}
 }
@@ -361,7 +361,7 @@
 		return err
 	}
 	if !d.Ready() {
-		return kind.New(kind.Unavailable, "the cell's jobs are still being loaded").After(n.retryAfter(id))
+		return kind.New(kind.Unavailable, "the cell's jobs are still being loaded").WithRetryAfter(n.retryAfter(id))
 	}
 	if !mayUse(ctx, d, id) {
 		return errOtherAccount()
@@ -403,7 +403,7 @@
 		return err
 	}
 	if err = n.cancelInCell(ctx, cell, id); kind.Is(err, kind.NotFound) {
-		return kind.New(kind.Unavailable, "the cell's owner has not accepted the job yet").After(n.retryAfter(id))
+		return kind.New(kind.Unavailable, "the cell's owner has not accepted the job yet").WithRetryAfter(n.retryAfter(id))
 	}
 	return err
 }
--- a/cmd/dewpass/tree.go
+++ b/cmd/dewpass/tree.go
@@ -229,7 +229,7 @@
 			if err != nil {
 				return err
 			}
-			for _, w := range compiled.Names() {
+			for _, w := range compiled.WorkloadPaths() {
 				fmt.Fprintln(c.Root().Writer, w)
 			}
 			return nil
--- a/commit/commit.go
+++ b/commit/commit.go
@@ -32,11 +32,11 @@
 // Journal collects changes and commits them in batches. Make one with New and
 // start it with Run.
 type Journal struct {
-	// Away reports whether the table has been unreachable for the other parts of
+	// TableUnavailable reports whether the table has been unreachable for the other parts of
 	// this instance for so long that a change with a deadline is refused without
 	// being sent. If it is nil, no change is refused for that reason. Set it
 	// before Run.
-	Away func() bool
+	TableUnavailable func() bool
 
 	table ports.Table
 	key   string
@@ -81,9 +81,9 @@
 // Prefix returns the key prefix of the own rows of a hall's journals.
 func Prefix(hall string) string { return keyPrefix + hall + "/" }
 
-// Used returns when a journal last wrote a transaction. row is the value of the
+// LastWrite returns when a journal last wrote a transaction. row is the value of the
 // journal's own row: a nonce that contains the time.
-func Used(row []byte) (time.Time, bool) {
+func LastWrite(row []byte) (time.Time, bool) {
 	nonce, err := ulid.ParseStrict(string(row))
 	if err != nil {
 		return time.Time{}, false
@@ -125,7 +125,7 @@
 // enqueue adds a change to those that wait for the next transaction. While the
 // table does not answer, it refuses a change with a deadline and returns false.
 func (j *Journal) enqueue(it *request) bool {
-	away := j.Away != nil && j.Away()
+	away := j.TableUnavailable != nil && j.TableUnavailable()
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	if (away || j.lastTxnFailed) && it.hasDeadline() {
--- a/commit/commit_test.go
+++ b/commit/commit_test.go
@@ -142,7 +142,7 @@
 
 	It("sends no change with a deadline while others know that the table is away", func(ctx context.Context) {
 		away := commit.New(table, "i", "away")
-		away.Away = func() bool { return true }
+		away.TableUnavailable = func() bool { return true }
 		running, cancel := context.WithCancel(ctx)
 		DeferCleanup(cancel)
 		go away.Run(running)
--- a/driver/commit.go
+++ b/driver/commit.go
@@ -126,7 +126,7 @@
 	if kind.Is(err, kind.Fenced) {
 		d.leaseLost("another instance holds the cell lease")
 	}
-	d.Scope.Histogram("write_seconds", telemetry.Latency()).RecordDuration(clock.Since(begun))
+	d.Scope.Histogram("write_seconds", telemetry.LatencyBuckets()).RecordDuration(clock.Since(begun))
 	d.Scope.Counter("write_rows_total").Inc(int64(len(g.tx.Put)))
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -160,9 +160,9 @@
 		}
 		if s.Record.State.Final() {
 			if s.History.Began > 0 {
-				d.Scope.Histogram("job_began_seconds", telemetry.Latency()).RecordDuration(s.History.Began)
+				d.Scope.Histogram("job_began_seconds", telemetry.LatencyBuckets()).RecordDuration(s.History.Began)
 			}
-			d.Scope.Histogram("job_took_seconds", telemetry.Latency()).RecordDuration(s.History.Took)
+			d.Scope.Histogram("job_took_seconds", telemetry.LatencyBuckets()).RecordDuration(s.History.Took)
 			d.Scope.Tagged(map[string]string{"state": string(s.Record.State)}).Counter("jobs_ended_total").Inc(1)
 			level.Info(d.Log).Log("event", "job_ended", "job", s.ID, "state", s.Record.State, "epoch", d.Claim.Epoch(),
 				"began_ms", s.History.Began.Milliseconds(), "took_ms", s.History.Took.Milliseconds(),
--- a/driver/driver.go
+++ b/driver/driver.go
@@ -278,7 +278,7 @@
 		select {
 		case <-kept:
 		case <-ctx.Done():
-			return kind.Wrap(kind.Lost, ctx.Err(), "cancel").Uncertain(id)
+			return kind.Wrap(kind.Lost, ctx.Err(), "cancel").WithUnknownOutcome(id)
 		}
 	}
 }
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -103,7 +103,7 @@
 		return err
 	}
 	e.buildCoordinator()
-	e.journal.Away = e.cutOff
+	e.journal.TableUnavailable = e.cutOff
 	e.buildOwner(work)
 	e.buildFront()
 	return nil
@@ -174,8 +174,8 @@
 		if err != nil {
 			return err
 		}
-		e.dialer.TLS = pair.Client
-		e.server.TLS = pair.Server()
+		e.dialer.TLS = pair.ClientConfig
+		e.server.TLS = pair.ServerConfig()
 	}
 	return nil
 }
@@ -192,7 +192,7 @@
 			_ = callers.Close()
 			return nil, nil, err
 		}
-		callers = tls.NewListener(callers, pair.Server())
+		callers = tls.NewListener(callers, pair.ServerConfig())
 	}
 	peers, err = net.Listen("tcp", s.Listen.Peer)
 	if err != nil {
@@ -231,7 +231,7 @@
 
 // ready reports whether this instance can serve callers.
 func (e *Entry) ready() bool {
-	return !e.leaving.Load() && e.register.Now().Version > 0 && e.owner.Ready()
+	return !e.leaving.Load() && e.register.Current().Version > 0 && e.owner.Ready()
 }
 
 // stop hands the racks over, lets requests in progress finish, and closes all
--- a/entry/greet.go
+++ b/entry/greet.go
@@ -172,7 +172,7 @@
 	racks := e.owner.Summary()
 	seq := e.summaries.update(racks, clock.Now())
 	round := e.summaries.nextRound()
-	version := e.register.Now().Version
+	version := e.register.Current().Version
 	views, ownershipSeq := e.peerViews(), e.summaries.lastOwnershipSeq()
 	for _, addr := range e.peers.HelloTargets(clock.Now()) {
 		if addr == e.settings.Listen.Peer {
@@ -234,7 +234,7 @@
 	h := &wire.Hello{
 		Instance: e.settings.Instance, Hall: e.settings.Hall, Boot: e.boot,
 		PeerAddr: e.settings.Listen.Peer, Leaving: e.leaving.Load(),
-		TreeVersion: e.register.Now().Version, RacksSeq: seq, SeenRacksSeq: view.racksSeq,
+		TreeVersion: e.register.Current().Version, RacksSeq: seq, SeenRacksSeq: view.racksSeq,
 		LeavingWorkers: e.owner.LeavingWorkers(), Refusals: e.front.Refusals(),
 		CutOff:  e.cutOff(),
 		Members: uint32(len(e.peers.Live(e.settings.Hall, clock.Now())) + 1),
@@ -258,7 +258,7 @@
 		e.owner.MarkLeaving(h.LeavingWorkers)
 	}
 	e.front.AddRefusals(h.Refusals)
-	if h.TreeVersion > e.register.Now().Version {
+	if h.TreeVersion > e.register.Current().Version {
 		go e.fetchNewerTree(h.PeerAddr)
 	}
 	if !known && len(e.coordinator.Directory()) == 0 {
@@ -367,7 +367,7 @@
 }
 
 func (e *Entry) handleTree(q *wire.TreeQuery) (*wire.Reply, error) {
-	now := e.register.Now()
+	now := e.register.Current()
 	t := &wire.Tree{Version: now.Version}
 	if now.Version > q.Above {
 		raw, err := json.Marshal(now.Doc)
--- a/entry/read.go
+++ b/entry/read.go
@@ -133,7 +133,7 @@
 	if err != nil {
 		return false
 	}
-	if version > e.register.Now().Version {
+	if version > e.register.Current().Version {
 		head, err := e.store.Load(ctx)
 		if err != nil {
 			return false
@@ -173,7 +173,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), fetchTimeout)
 	defer cancel()
 	fault.At(fault.EditSpread)
-	body := &wire.Request_Tree{Tree: &wire.TreeQuery{Above: e.register.Now().Version}}
+	body := &wire.Request_Tree{Tree: &wire.TreeQuery{Above: e.register.Current().Version}}
 	reply, err := e.dialer.Do(ctx, addr, &wire.Request{Body: body})
 	if err != nil {
 		return false
--- a/entry/rescue.go
+++ b/entry/rescue.go
@@ -73,7 +73,7 @@
 
 // rescueHall moves the jobs of a hall that may be moved.
 func (e *Entry) rescueHall(ctx context.Context, h string, racks map[string]bool, absences map[string]*absence) error {
-	c := e.register.Now()
+	c := e.register.Current()
 	lost := c.Lost[h]
 	if len(e.peers.Live(h, clock.Now())) > 0 && !lost {
 		// A peer there sends hellos: the hall is connected and manages its own jobs.
@@ -130,7 +130,7 @@
 	}
 	keys := make([]string, len(index))
 	for i, row := range index {
-		keys[i] = job.RowKey(job.IndexedID(rack, row.Key))
+		keys[i] = job.RowKey(job.IDFromIndexKey(rack, row.Key))
 	}
 	rows, err := e.platform.Get(ctx, keys...)
 	if err != nil {
@@ -138,7 +138,7 @@
 	}
 	for _, row := range rows {
 		j, err := job.Decode(row.Value)
-		if err != nil || row.Version == 0 || j.State.Over() || j.Hall != h {
+		if err != nil || row.Version == 0 || j.State.Final() || j.Hall != h {
 			continue
 		}
 		w := c.Workloads[j.Workload]
@@ -156,7 +156,7 @@
 // hall that is cut off stops its movable jobs before MoveAfter is over, and workers
 // stop tasks whose lease is not renewed.
 func mayMove(w *tree.Workload, absentTime, taskLease time.Duration) bool {
-	return w.CutOff == tree.Move && absentTime > w.MoveAfter+lease.Margin(w.MoveAfter)+2*taskLease
+	return w.CutOff == tree.CutOffMove && absentTime > w.MoveAfter+lease.Margin(w.MoveAfter)+2*taskLease
 }
 
 // moveJob moves a job to a rack of this hall. A job that must not be repeated and
--- a/entry/services.go
+++ b/entry/services.go
@@ -45,7 +45,7 @@
 			return
 		}
 		now := clock.Now()
-		c := e.register.Now()
+		c := e.register.Current()
 		due := c.Version != version || now.Sub(counted) > servicesAuditInterval
 		if !due || !e.ready() || e.coordinator.CutOff(now) || !e.isLeader(servicesRole, now) {
 			continue
@@ -162,7 +162,7 @@
 			return live, err
 		}
 		for _, raw := range rows {
-			if row, err := job.Decode(raw.Value); err == nil && !row.State.Over() {
+			if row, err := job.Decode(raw.Value); err == nil && !row.State.Final() {
 				live = append(live, row)
 			}
 		}
--- a/expiry/expiry.go
+++ b/expiry/expiry.go
@@ -61,7 +61,7 @@
 	if err != nil {
 		return nil, err
 	}
-	limit := job.ExpiryBefore(s.Hall, now)
+	limit := job.ExpiryBound(s.Hall, now)
 	for i, r := range rows {
 		if r.Key >= limit {
 			return rows[:i], nil
@@ -101,7 +101,7 @@
 	if err != nil {
 		return err
 	}
-	rows, err := s.Table.Get(ctx, job.RowKey(e.ID), job.KeyRow(e.Shop, e.Key))
+	rows, err := s.Table.Get(ctx, job.RowKey(e.ID), job.RequestKeyRowKey(e.Shop, e.Key))
 	if err != nil {
 		return err
 	}
@@ -134,7 +134,7 @@
 	if err != nil {
 		return err
 	}
-	if !j.State.Over() || j.Expires == nil || j.Expires.After(now) {
+	if !j.State.Final() || j.Expires == nil || j.Expires.After(now) {
 		return nil
 	}
 	for _, object := range []string{j.AnswerObject, j.Checkpoint} {
@@ -154,7 +154,7 @@
 	if e.Key == "" || row.Version == 0 {
 		return false
 	}
-	k, err := job.DecodeKey(row.Value)
+	k, err := job.DecodeRequestKey(row.Value)
 	if err != nil {
 		return false
 	}
@@ -168,7 +168,7 @@
 	if err != nil {
 		return 0, err
 	}
-	journals, err := s.unusedRows(ctx, commit.Prefix(s.Hall), commit.Used, now)
+	journals, err := s.unusedRows(ctx, commit.Prefix(s.Hall), commit.LastWrite, now)
 	if err != nil {
 		return 0, err
 	}
--- a/expiry/expiry_test.go
+++ b/expiry/expiry_test.go
@@ -69,7 +69,7 @@
 		row := job.Job{ID: id, Shop: "s", Key: "k-" + id, Hall: "h", State: state, Expires: &expires, AnswerObject: "answer/" + id}
 		store.Put(row.AnswerObject, []byte("x"))
 		put(ports.Put{Key: job.RowKey(id), Value: job.Encode(row)},
-			ports.Put{Key: job.KeyRow("s", row.Key), Value: job.Encode(job.Key{ID: id})},
+			ports.Put{Key: job.RequestKeyRowKey("s", row.Key), Value: job.Encode(job.RequestKey{ID: id})},
 			job.ExpiryOf(row).Put())
 	}
 	keys := func() []string {
@@ -88,7 +88,7 @@
 		}
 		add("later", job.Done, now.Add(time.Second))
 		refused := job.Expiry{Hall: "h", At: now.Add(-time.Hour), Shop: "s", Key: "refused"}
-		put(refused.Put(), ports.Put{Key: job.KeyRow("s", "refused"), Value: job.Encode(job.Key{Refused: true})})
+		put(refused.Put(), ports.Put{Key: job.RequestKeyRowKey("s", "refused"), Value: job.Encode(job.RequestKey{Refused: true})})
 		table.Set(func(l *standin.Local) {
 			l.Before = func(ports.Txn) error { time.Sleep(2 * time.Millisecond); return nil }
 		})
@@ -104,10 +104,10 @@
 	It("keeps a job that has not ended, and a key that belongs to another request", func(ctx context.Context) {
 		add("runs", job.Unknown, now.Add(-time.Hour))
 		add("over", job.Done, now.Add(-time.Hour))
-		put(ports.Put{Key: job.KeyRow("s", "k-over"), Value: job.Encode(job.Key{ID: "another"})})
+		put(ports.Put{Key: job.RequestKeyRowKey("s", "k-over"), Value: job.Encode(job.RequestKey{ID: "another"})})
 		_, err := s.SweepJobs(ctx, now)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(keys()).To(ConsistOf(job.RowKey("runs"), job.KeyRow("s", "k-over")))
+		Expect(keys()).To(ConsistOf(job.RowKey("runs"), job.RequestKeyRowKey("s", "k-over")))
 	})
 
 	It("keeps the rows while their objects cannot be deleted", func(ctx context.Context) {
@@ -130,7 +130,7 @@
 			l.Before = func(t ports.Txn) error {
 				if !changed {
 					changed = true
-					put(ports.Put{Key: job.KeyRow("s", "k-a"), Value: job.Encode(job.Key{ID: "another"})})
+					put(ports.Put{Key: job.RequestKeyRowKey("s", "k-a"), Value: job.Encode(job.RequestKey{ID: "another"})})
 				}
 				return nil
 			}
--- a/front/calls.go
+++ b/front/calls.go
@@ -37,7 +37,7 @@
 	}
 	ctx := r.Context()
 	f.Confirm(ctx)
-	w, err := req.bind(f.Tree.Now(), clock.Wall(), tree.Call)
+	w, err := req.bind(f.Tree.Current(), clock.Wall(), tree.Call)
 	if err != nil {
 		return nil, err
 	}
@@ -130,8 +130,8 @@
 		ID: reply.Id, Attempt: reply.Attempt, Length: int(reply.Length),
 		Digest: reply.Digest, Body: reply.Body,
 	}
-	if err := answer.Whole(reply.Id, reply.Attempt); err != nil {
-		return nil, kind.Of(err).Uncertain(reply.Id)
+	if err := answer.Verify(reply.Id, reply.Attempt); err != nil {
+		return nil, kind.Of(err).WithUnknownOutcome(reply.Id)
 	}
 	return &Answer{
 		ID: reply.Id, Workload: req.Workload, Shop: req.Shop, Worker: reply.Worker,
@@ -144,15 +144,15 @@
 
 // awaitEarlier waits for the end of an earlier request with the same key.
 func (f *Front) awaitEarlier(ctx context.Context, req *request, row job.Job) (*Answer, error) {
-	for !row.State.Over() && row.State != job.Unknown {
+	for !row.State.Final() && row.State != job.Unknown {
 		select {
 		case <-time.After(pollInterval):
 		case <-ctx.Done():
-			return nil, kind.New(kind.Lost, "the first try is "+string(row.State)).Uncertain(row.ID)
+			return nil, kind.New(kind.Lost, "the first try is "+string(row.State)).WithUnknownOutcome(row.ID)
 		}
 		next, err := f.findJob(ctx, row.ID)
 		if err != nil {
-			return nil, kind.Of(err).Uncertain(row.ID)
+			return nil, kind.Of(err).WithUnknownOutcome(row.ID)
 		}
 		row = next
 	}
@@ -174,7 +174,7 @@
 	case job.Refused:
 		return nil, kind.New(kind.Cancelled, "the first try was refused: "+row.Why)
 	case job.Unknown:
-		return nil, kind.New(kind.Lost, row.Why).Uncertain(row.ID)
+		return nil, kind.New(kind.Lost, row.Why).WithUnknownOutcome(row.ID)
 	default:
 		e := kind.New(kind.TaskFailed, row.Why)
 		e.ID = row.ID
--- a/front/front.go
+++ b/front/front.go
@@ -156,7 +156,7 @@
 		r = r.WithContext(ctx)
 		w.Header().Set(requestIDHeader, id)
 		resp, err := h(r)
-		telemetry.Fail(span, err)
+		telemetry.EndSpan(span, err)
 		if err != nil {
 			f.writeError(w, id, name, err)
 		} else {
--- a/front/jobs.go
+++ b/front/jobs.go
@@ -41,7 +41,7 @@
 		return nil, err
 	}
 	f.Confirm(r.Context())
-	w, err := req.bind(f.Tree.Now(), clock.Wall(), tree.Batch)
+	w, err := req.bind(f.Tree.Current(), clock.Wall(), tree.Batch)
 	if err != nil {
 		return nil, err
 	}
@@ -180,7 +180,7 @@
 	reply, err := f.Send.Do(ctx, p.addr, &wire.Request{Body: &wire.Request_Submit{Submit: body}})
 	if err != nil {
 		if e := kind.Of(err); e.Outcome == kind.Unknown {
-			return row, e.Uncertain(row.ID)
+			return row, e.WithUnknownOutcome(row.ID)
 		}
 		return row, err
 	}
@@ -231,12 +231,12 @@
 	}
 	body, err := f.Objects.GetObject(ctx, row.AnswerObject)
 	if err != nil {
-		return row, kind.Of(err).Uncertain(row.ID)
+		return row, kind.Of(err).WithUnknownOutcome(row.ID)
 	}
 	full := *row.Answer
 	full.Body = body
-	if err := full.Whole(row.ID, full.Attempt); err != nil {
-		return row, kind.Of(err).Uncertain(row.ID)
+	if err := full.Verify(row.ID, full.Attempt); err != nil {
+		return row, kind.Of(err).WithUnknownOutcome(row.ID)
 	}
 	row.Answer = &full
 	return row, nil
@@ -291,7 +291,7 @@
 // Cancel asks the owner of a job's rack to cancel the job.
 func (f *Front) Cancel(ctx context.Context, id string) (job.Job, error) {
 	row, err := f.findJob(ctx, id)
-	if err != nil || row.State.Over() {
+	if err != nil || row.State.Final() {
 		return row, err
 	}
 	if _, here := f.Owner.Job(cancelledContext(ctx), id); here {
@@ -322,7 +322,7 @@
 	}
 	detached := context.WithoutCancel(ctx)
 	row, err := f.findJob(detached, id)
-	if err != nil || row.State.Over() {
+	if err != nil || row.State.Final() {
 		return row, err
 	}
 	deadline, _ := ctx.Deadline()
--- a/front/operator.go
+++ b/front/operator.go
@@ -38,7 +38,7 @@
 	if err != nil {
 		return nil, err
 	}
-	now := f.Tree.Now()
+	now := f.Tree.Current()
 	doc, version := now.Doc, now.Version
 	if r.URL.Query().Get("in-force") == "" {
 		head, err := f.Store.Load(r.Context())
@@ -112,15 +112,15 @@
 	if err != nil {
 		return nil, err
 	}
-	return ok(c.Names())
+	return ok(c.WorkloadPaths())
 }
 
 func (f *Front) workloads(*http.Request) (*response, error) {
-	return ok(f.Tree.Now().Names())
+	return ok(f.Tree.Current().WorkloadPaths())
 }
 
 func (f *Front) workload(r *http.Request) (*response, error) {
-	w, err := f.Tree.Now().Lookup(mux.Vars(r)["path"])
+	w, err := f.Tree.Current().Lookup(mux.Vars(r)["path"])
 	if err != nil {
 		return nil, err
 	}
@@ -203,7 +203,7 @@
 func (f *Front) HallStatus() Status {
 	now := clock.Now()
 	s := Status{
-		Instance: f.Instance, Hall: f.Hall, TreeVersion: f.Tree.Now().Version, CutOff: f.CutOff(),
+		Instance: f.Instance, Hall: f.Hall, TreeVersion: f.Tree.Current().Version, CutOff: f.CutOff(),
 	}
 	s.add(InstanceStatus{
 		Instance: f.Instance, Hall: f.Hall, TreeVersion: s.TreeVersion, CutOff: s.CutOff,
--- a/front/refusal.go
+++ b/front/refusal.go
@@ -139,16 +139,16 @@
 	}
 	unknown := kind.Wrap(e.Kind, cause, "and the table cannot be read for earlier requests with the key")
 	unknown.RetryAfter = e.RetryAfter
-	return job.Job{}, unknown.Uncertain("")
+	return job.Job{}, unknown.WithUnknownOutcome("")
 }
 
 // closeKeyChange returns the change that closes a key until the retention time of
 // keys is over.
 func (f *Front) closeKeyChange(req *request, digest, why string) commit.Change {
-	key := job.KeyRow(req.Shop, req.Key)
-	value := job.Encode(job.Key{Digest: digest, Refused: true, Why: why})
+	key := job.RequestKeyRowKey(req.Shop, req.Key)
+	value := job.Encode(job.RequestKey{Digest: digest, Refused: true, Why: why})
 	keep := tree.DefaultKeep
-	if w := f.Tree.Now().Workloads[req.Workload]; w != nil {
+	if w := f.Tree.Current().Workloads[req.Workload]; w != nil {
 		keep = w.Keep
 	}
 	e := job.Expiry{Hall: f.Hall, At: clock.Wall().Add(keep), Shop: req.Shop, Key: req.Key}
@@ -161,14 +161,14 @@
 // findByKey returns the row of the first request with the key, or cause if the key
 // is not in the table.
 func (f *Front) findByKey(ctx context.Context, req *request, digest string, cause error) (job.Job, error) {
-	rows, err := f.Table.Get(ctx, job.KeyRow(req.Shop, req.Key))
+	rows, err := f.Table.Get(ctx, job.RequestKeyRowKey(req.Shop, req.Key))
 	if err != nil {
-		return job.Job{}, kind.Wrap(kind.Of(err).Kind, err, "cannot look up earlier requests with the key").Uncertain("")
+		return job.Job{}, kind.Wrap(kind.Of(err).Kind, err, "cannot look up earlier requests with the key").WithUnknownOutcome("")
 	}
 	if rows[0].Version == 0 {
 		return job.Job{}, cause
 	}
-	key, err := job.DecodeKey(rows[0].Value)
+	key, err := job.DecodeRequestKey(rows[0].Value)
 	if err != nil {
 		return job.Job{}, err
 	}
@@ -219,7 +219,7 @@
 // allRefused reports whether the rows that a commit conflicts with are refusals as well.
 func allRefused(c *commit.Conflict) bool {
 	for _, r := range c.Rows {
-		if key, err := job.DecodeKey(r.Value); err != nil || !key.Refused {
+		if key, err := job.DecodeRequestKey(r.Value); err != nil || !key.Refused {
 			return false
 		}
 	}
--- a/front/route.go
+++ b/front/route.go
@@ -192,7 +192,7 @@
 	ctx, span := f.Tracer.Start(ctx, "front.forward")
 	req := &wire.Request{Traceparent: telemetry.Inject(ctx), Body: &wire.Request_Call{Call: c}}
 	reply, err := f.Send.Do(ctx, p.addr, req)
-	telemetry.Fail(span, err)
+	telemetry.EndSpan(span, err)
 	if err != nil {
 		return nil, err
 	}
@@ -231,7 +231,7 @@
 		return nil
 	}
 	wait := time.Duration(float64(time.Second) / float64(part))
-	return kind.New(kind.RateLimited, w.Path).After(max(wait, 100*time.Millisecond))
+	return kind.New(kind.RateLimited, w.Path).WithRetryAfter(max(wait, 100*time.Millisecond))
 }
 
 // retryBudget limits retries in proportion to first tries. It starts full.
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -179,7 +179,7 @@
 		return
 	}
 	for _, t := range w.tasks {
-		if !t.state.Over() {
+		if !t.state.Ended() {
 			w.end(t, ports.TaskStopped, "lapsed")
 		}
 	}
@@ -267,7 +267,7 @@
 		return nil, err
 	}
 	t := w.tasks[req.Task.ID]
-	if t != nil && (!t.state.Over() || t.task.Attempt >= req.Task.Attempt) {
+	if t != nil && (!t.state.Ended() || t.task.Attempt >= req.Task.Attempt) {
 		return nil, kind.New(kind.Conflict, "an attempt is here already")
 	}
 	if w.leaving {
@@ -319,7 +319,7 @@
 	t.saver = time.AfterFunc(time.Duration(t.payload.SaveMS)*time.Millisecond, func() {
 		w.stateMu.Lock()
 		defer w.stateMu.Unlock()
-		if t.state.Over() {
+		if t.state.Ended() {
 			return
 		}
 		w.save(t)
@@ -341,7 +341,7 @@
 	w.stateMu.Lock()
 	defer w.stateMu.Unlock()
 	w.lapse(time.Now())
-	if t.state.Over() || w.crashed {
+	if t.state.Ended() || w.crashed {
 		return
 	}
 	if t.payload.Fail {
@@ -362,7 +362,7 @@
 
 // end takes a task out of what runs. The lock is held.
 func (w *Worker) end(t *run, state ports.TaskState, what string) {
-	if t.state.Over() {
+	if t.state.Ended() {
 		return
 	}
 	if t.state == ports.TaskRunning {
@@ -434,7 +434,7 @@
 	w.stateMu.Lock()
 	defer w.stateMu.Unlock()
 	t := w.tasks[id]
-	if t != nil && t.task.Attempt == attempt && t.state.Over() {
+	if t != nil && t.task.Attempt == attempt && t.state.Ended() {
 		delete(w.tasks, id)
 	}
 }
--- a/internal/standin/worker_http.go
+++ b/internal/standin/worker_http.go
@@ -84,7 +84,7 @@
 	w.stateMu.Lock()
 	defer w.stateMu.Unlock()
 	t.answered = false
-	if t.state.Over() {
+	if t.state.Ended() {
 		t.seq = w.touch()
 	}
 }
@@ -202,7 +202,7 @@
 		refuse(rw, kind.New(kind.NotFound, req.ID))
 		return
 	}
-	if !t.state.Over() {
+	if !t.state.Ended() {
 		w.carryOut(t, req.Action)
 	}
 	writeJSON(rw, w.report(t))
--- a/job/expiry.go
+++ b/job/expiry.go
@@ -37,9 +37,9 @@
 // ExpiryPrefix returns the key prefix of a hall's expiry rows.
 func ExpiryPrefix(hall string) string { return expiryPrefix + hall + "/" }
 
-// ExpiryBefore returns a key that sorts after the keys of all expiry rows due
+// ExpiryBound returns a key that sorts after the keys of all expiry rows due
 // before now, and before the keys of all others.
-func ExpiryBefore(hall string, now time.Time) string {
+func ExpiryBound(hall string, now time.Time) string {
 	return ExpiryPrefix(hall) + now.UTC().Format(expiryTimeFormat) + "/"
 }
 
@@ -47,9 +47,9 @@
 func (e Expiry) Put() ports.Put {
 	name := e.ID
 	if name == "" {
-		name = KeyRow(e.Shop, e.Key)
+		name = RequestKeyRowKey(e.Shop, e.Key)
 	}
-	return ports.Put{Key: ExpiryBefore(e.Hall, e.At) + name, Value: Encode(e)}
+	return ports.Put{Key: ExpiryBound(e.Hall, e.At) + name, Value: Encode(e)}
 }
 
 // DecodeExpiry decodes an expiry row.
--- a/job/job.go
+++ b/job/job.go
@@ -34,8 +34,8 @@
 	Refused State = "refused"
 )
 
-// Over reports whether s is final.
-func (s State) Over() bool {
+// Final reports whether s is final.
+func (s State) Final() bool {
 	switch s {
 	case Done, Failed, Cancelled, Refused:
 		return true
@@ -92,9 +92,9 @@
 	Why string `json:"why,omitempty"`
 }
 
-// Next returns a copy of j in state s, or an error of kind Conflict if the
+// Transition returns a copy of j in state s, or an error of kind Conflict if the
 // transition is not allowed.
-func (j Job) Next(s State) (Job, error) {
+func (j Job) Transition(s State) (Job, error) {
 	for _, to := range allowedTransitions[j.State] {
 		if to != s {
 			continue
@@ -108,8 +108,8 @@
 	return j, kind.New(kind.Conflict, "a job that is "+string(j.State)+" cannot become "+string(s))
 }
 
-// Key is the row of a request key.
-type Key struct {
+// RequestKey is the row of a request key.
+type RequestKey struct {
 	// ID is the ID of the job that the request started.
 	ID string `json:"id"`
 	// Digest is the digest of the request. It detects the use of a key for a
@@ -138,11 +138,11 @@
 // IndexKey returns the row key of a job's index row.
 func IndexKey(rack, id string) string { return IndexPrefix(rack) + id }
 
-// KeyRow returns the row key of a request key.
-func KeyRow(shop, key string) string { return keyPrefix + shop + "/" + key }
+// RequestKeyRowKey returns the row key of a request key.
+func RequestKeyRowKey(shop, key string) string { return keyPrefix + shop + "/" + key }
 
-// IndexedID extracts the job's ID from the row key of its index row.
-func IndexedID(rack, key string) string { return key[len(IndexPrefix(rack)):] }
+// IDFromIndexKey extracts the job's ID from the row key of its index row.
+func IDFromIndexKey(rack, key string) string { return key[len(IndexPrefix(rack)):] }
 
 // Encode returns the JSON of a row. It panics on failure, which cannot happen
 // because rows are plain data.
@@ -163,11 +163,11 @@
 	return j, nil
 }
 
-// DecodeKey decodes the row of a request key.
-func DecodeKey(raw []byte) (Key, error) {
-	var k Key
+// DecodeRequestKey decodes the row of a request key.
+func DecodeRequestKey(raw []byte) (RequestKey, error) {
+	var k RequestKey
 	if err := json.Unmarshal(raw, &k); err != nil {
-		return Key{}, kind.Wrap(kind.Internal, err, "the row of a request key is damaged")
+		return RequestKey{}, kind.Wrap(kind.Internal, err, "the row of a request key is damaged")
 	}
 	return k, nil
 }
--- a/job/job_test.go
+++ b/job/job_test.go
@@ -28,11 +28,11 @@
 			j := job.Job{State: job.Queued, Repeat: ports.RepeatNever}
 			ran := false
 			for range 20 {
-				next, err := j.Next(rapid.SampledFrom(allStates).Draw(t, "to"))
+				next, err := j.Transition(rapid.SampledFrom(allStates).Draw(t, "to"))
 				if err != nil {
 					continue
 				}
-				if j.State.Over() {
+				if j.State.Final() {
 					t.Fatalf("transition from final state %s to %s", j.State, next.State)
 				}
 				ran = ran || next.State == job.Running
@@ -49,6 +49,6 @@
 	f.Add(job.Encode(job.Job{ID: "x", State: job.Queued}))
 	f.Fuzz(func(_ *testing.T, raw []byte) {
 		_, _ = job.Decode(raw)
-		_, _ = job.DecodeKey(raw)
+		_, _ = job.DecodeRequestKey(raw)
 	})
 }
--- a/keys/keys.go
+++ b/keys/keys.go
@@ -91,9 +91,9 @@
 	return p.cert, p.pool
 }
 
-// Server returns a configuration for a listener. If the pair has authorities,
+// ServerConfig returns a configuration for a listener. If the pair has authorities,
 // clients must present a certificate that one of them has signed.
-func (p *Pair) Server() *tls.Config {
+func (p *Pair) ServerConfig() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
 		GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) {
@@ -108,10 +108,10 @@
 	}
 }
 
-// Client returns a configuration for dialling host, an IP address. The server
+// ClientConfig returns a configuration for dialling host, an IP address. The server
 // must present a certificate for that address that one of the pair's authorities
 // has signed.
-func (p *Pair) Client(host string) *tls.Config {
+func (p *Pair) ClientConfig(host string) *tls.Config {
 	cert, pool := p.current()
 	return &tls.Config{
 		MinVersion:   tls.VersionTLS13,
--- a/kind/kind.go
+++ b/kind/kind.go
@@ -195,15 +195,15 @@
 // Unwrap returns the wrapped error.
 func (e *Error) Unwrap() error { return e.Cause }
 
-// After sets RetryAfter and returns e.
-func (e *Error) After(d time.Duration) *Error {
+// WithRetryAfter sets RetryAfter and returns e.
+func (e *Error) WithRetryAfter(d time.Duration) *Error {
 	e.RetryAfter = d
 	return e
 }
 
-// Uncertain sets the outcome to Unknown and the ID by which the work can be
+// WithUnknownOutcome sets the outcome to Unknown and the ID by which the work can be
 // queried later, and returns e.
-func (e *Error) Uncertain(id string) *Error {
+func (e *Error) WithUnknownOutcome(id string) *Error {
 	e.Outcome = Unknown
 	e.ID = id
 	return e
--- a/kind/kind_test.go
+++ b/kind/kind_test.go
@@ -42,8 +42,8 @@
 	})
 
 	It("are unchanged by encoding and decoding between instances", func() {
-		e := kind.At(kind.Deadline, "/p", "d").After(1500000000)
-		e.Uncertain("id")
+		e := kind.At(kind.Deadline, "/p", "d").WithRetryAfter(1500000000)
+		e.WithUnknownOutcome("id")
 		Expect(wire.ErrorOf(wire.ToError(errors.Wrap(e, "outer")))).To(Equal(e))
 	})
 })
--- a/owner/away.go
+++ b/owner/away.go
@@ -37,8 +37,8 @@
 	}
 	o.cutOff = true
 	for _, js := range o.jobs {
-		w := o.Tree.Now().Workloads[js.row.Workload]
-		if w == nil || w.CutOff != tree.Move || js.row.Call {
+		w := o.Tree.Current().Workloads[js.row.Workload]
+		if w == nil || w.CutOff != tree.CutOffMove || js.row.Call {
 			continue
 		}
 		if sinceHeartbeat > w.MoveAfter-lease.Margin(w.MoveAfter)-stopLead {
@@ -68,7 +68,7 @@
 		if js.task != nil && js.task.worker == nil {
 			o.removeJobTask(js.task)
 		}
-		if js.task == nil && !js.row.State.Over() {
+		if js.task == nil && !js.row.State.Final() {
 			js.mustReread = true
 		}
 	}
--- a/owner/call.go
+++ b/owner/call.go
@@ -51,12 +51,12 @@
 	ctx, span := o.Tracer.Start(ctx, "owner.call")
 	span.SetAttributes(attribute.String("dewpass.id", req.Id), attribute.String("dewpass.workload", req.Workload))
 	reply, err := o.call(ctx, req)
-	telemetry.Fail(span, err)
+	telemetry.EndSpan(span, err)
 	return reply, err
 }
 
 func (o *Owner) call(ctx context.Context, req *wire.Call) (*wire.CallReply, error) {
-	w, err := o.Tree.Now().Lookup(req.Workload)
+	w, err := o.Tree.Current().Lookup(req.Workload)
 	if err != nil {
 		return nil, err
 	}
@@ -149,11 +149,11 @@
 	verdict, after := o.cell.Admit(st, now)
 	switch {
 	case verdict == sched.QueueFull:
-		return kind.New(kind.QueueFull, "").After(after)
+		return kind.New(kind.QueueFull, "").WithRetryAfter(after)
 	case verdict == sched.TooLate:
-		return kind.New(kind.Deadline, "the predicted wait is too long").After(after)
+		return kind.New(kind.Deadline, "the predicted wait is too long").WithRetryAfter(after)
 	case !req.Queue:
-		return kind.New(kind.NoCapacity, "").After(after)
+		return kind.New(kind.NoCapacity, "").WithRetryAfter(after)
 	}
 	return nil
 }
@@ -177,7 +177,7 @@
 	if o.tasksByRef[t.ref] != nil {
 		o.removeTask(t)
 	}
-	return kind.New(kind.Deadline, "no worker had room before the deadline").After(o.retryAfter(t))
+	return kind.New(kind.Deadline, "no worker had room before the deadline").WithRetryAfter(o.retryAfter(t))
 }
 
 func (o *Owner) retryAfter(t *task) time.Duration {
--- a/owner/jobs.go
+++ b/owner/jobs.go
@@ -63,7 +63,7 @@
 // Submit writes the rows of a new job and queues it. An error of kind Conflict whose cause is a
 // commit.Conflict names the rows that existed already.
 func (o *Owner) Submit(ctx context.Context, row job.Job) (job.Job, error) {
-	w, err := o.Tree.Now().Lookup(row.Workload)
+	w, err := o.Tree.Current().Lookup(row.Workload)
 	if err != nil {
 		return row, err
 	}
@@ -111,14 +111,14 @@
 	}
 	if waiting >= w.Queue {
 		after := max(o.cell.PredictedWait(w.Class, o.now()), time.Second)
-		return kind.New(kind.QueueFull, "the workload's queue is full").After(after)
+		return kind.New(kind.QueueFull, "the workload's queue is full").WithRetryAfter(after)
 	}
 	return nil
 }
 
 // enqueue queues a job for placement. The lock is held.
 func (o *Owner) enqueue(js *jobState) {
-	w, err := o.Tree.Now().Lookup(js.row.Workload)
+	w, err := o.Tree.Current().Lookup(js.row.Workload)
 	if err != nil || js.task != nil {
 		// The jobs of a workload that was removed from the tree wait until it is added again.
 		// See resolveDoubt.
@@ -197,7 +197,7 @@
 	if js == nil {
 		return job.Job{}, kind.New(kind.NotFound, "no job with this ID on the owned racks")
 	}
-	if js.row.State.Over() {
+	if js.row.State.Final() {
 		return js.row, nil
 	}
 	js.cancelling = true
@@ -249,7 +249,7 @@
 	if o.tasksByRef[t.ref] != t {
 		return
 	}
-	if rep.State.Over() && !t.callerWaits {
+	if rep.State.Ended() && !t.callerWaits {
 		// The watch reports the end in order. If it were applied here, it could overtake a
 		// report that the task runs. That report would then count for the next attempt, and the
 		// attempt after that would start while the next one runs.
--- a/owner/load.go
+++ b/owner/load.go
@@ -105,7 +105,7 @@
 	defer o.mu.Unlock()
 	var keys []string
 	for _, row := range index {
-		if id := job.IndexedID(r.name, row.Key); o.jobs[id] == nil {
+		if id := job.IDFromIndexKey(r.name, row.Key); o.jobs[id] == nil {
 			keys = append(keys, job.RowKey(id))
 		}
 	}
@@ -116,7 +116,7 @@
 // shown whether they run it.
 func (o *Owner) addLoadedJob(js *jobState) {
 	o.jobs[js.row.ID] = js
-	if js.row.State.Over() {
+	if js.row.State.Final() {
 		// Only its index row is left to delete.
 		o.persist(js)
 		return
@@ -147,7 +147,7 @@
 // resolveDoubt queues a job, or ends it, as soon as it is certain that no worker runs it. The
 // lock is held.
 func (o *Owner) resolveDoubt(js *jobState) {
-	if js.task != nil || js.row.State.Over() || js.mustReread {
+	if js.task != nil || js.row.State.Final() || js.mustReread {
 		return
 	}
 	if !js.inDoubt {
@@ -174,8 +174,8 @@
 
 // movableWhenCutOff reports whether others may move a job while this instance is cut off.
 func (o *Owner) movableWhenCutOff(js *jobState) bool {
-	w := o.Tree.Now().Workloads[js.row.Workload]
-	return w != nil && w.CutOff == tree.Move
+	w := o.Tree.Current().Workloads[js.row.Workload]
+	return w != nil && w.CutOff == tree.CutOffMove
 }
 
 // resolveNoRepeat ends work that must not be repeated once the worker that it was sent to has
@@ -199,12 +199,12 @@
 // detachedStopped); or if the time has passed after which jobs are moved out of a hall that is
 // cut off.
 func (o *Owner) noWorkerRuns(js *jobState) bool {
-	c := o.Tree.Now()
+	c := o.Tree.Current()
 	if c.Lost[o.Hall] {
 		return true
 	}
 	w := c.Workloads[js.row.Workload]
-	if w != nil && w.CutOff == tree.Move {
+	if w != nil && w.CutOff == tree.CutOffMove {
 		stopped := w.MoveAfter + lease.Margin(w.MoveAfter) + 2*o.TaskLease
 		if clock.Since(js.rack.ownedSince) > stopped {
 			return true
--- a/owner/owner.go
+++ b/owner/owner.go
@@ -220,7 +220,7 @@
 
 // applyTree applies a new version of the tree.
 func (o *Owner) applyTree() {
-	c := o.Tree.Now()
+	c := o.Tree.Current()
 	if c.Version == o.treeVersion {
 		return
 	}
--- a/owner/racks.go
+++ b/owner/racks.go
@@ -171,7 +171,7 @@
 	if o.listedWorkers > 0 {
 		o.workerShare = float64(own) / float64(o.listedWorkers)
 	}
-	c := o.Tree.Now()
+	c := o.Tree.Current()
 	o.cell.SetReserveFloor(c.Reserve)
 	for path, t := range c.Teams {
 		quota := t.Quota
--- a/owner/report.go
+++ b/owner/report.go
@@ -17,7 +17,7 @@
 // markRunning records that a worker runs a job.
 func (o *Owner) markRunning(t *task) {
 	js := t.job
-	if js == nil || js.row.State == job.Running || js.row.State.Over() {
+	if js == nil || js.row.State == job.Running || js.row.State.Final() {
 		return
 	}
 	fault.At(fault.Running)
@@ -34,7 +34,7 @@
 
 // setState changes the state of a job and writes its row.
 func (o *Owner) setState(js *jobState, s job.State, f func(*job.Job)) bool {
-	row, err := js.row.Next(s)
+	row, err := js.row.Transition(s)
 	if err != nil {
 		level.Warn(o.Log).Log("msg", "invalid job state transition", "job", js.row.ID, "err", err)
 		return false
@@ -47,7 +47,7 @@
 
 // endJob puts a job into a final state, or into Unknown.
 func (o *Owner) endJob(js *jobState, s job.State, f func(*job.Job)) {
-	if js == nil || js.row.State.Over() || js.row.State == s {
+	if js == nil || js.row.State.Final() || js.row.State == s {
 		return
 	}
 	now := clock.Wall().UTC()
@@ -55,7 +55,7 @@
 	if !o.setState(js, s, func(j *job.Job) {
 		f(j)
 		j.Finished = &now
-		if s.Over() {
+		if s.Final() {
 			expires := now.Add(o.retention(j.Workload))
 			j.Expires = &expires
 		}
@@ -71,7 +71,7 @@
 
 // retention returns how long a job of a workload is kept after its end.
 func (o *Owner) retention(workload string) time.Duration {
-	if w := o.Tree.Now().Workloads[workload]; w != nil {
+	if w := o.Tree.Current().Workloads[workload]; w != nil {
 		return w.Keep
 	}
 	return tree.DefaultKeep
@@ -138,7 +138,7 @@
 func (o *Owner) handleLostTask(t *task, why string) {
 	js := t.job
 	switch {
-	case js == nil || js.row.State.Over():
+	case js == nil || js.row.State.Final():
 		o.removeTask(t)
 	case !t.sent:
 		o.handleNotRun(t)
@@ -159,7 +159,7 @@
 	if t == nil || t.worker != w {
 		return
 	}
-	if !rep.State.Over() {
+	if !rep.State.Ended() {
 		o.applyProgress(t, rep)
 		return
 	}
@@ -179,11 +179,11 @@
 func (o *Owner) adoptReported(w *worker, rep ports.TaskReport) *task {
 	js := o.jobs[rep.Task.ID]
 	switch {
-	case js == nil && rep.State.Over() && !w.rack.loaded && hasRow(rep.Task):
+	case js == nil && rep.State.Ended() && !w.rack.loaded && hasRow(rep.Task):
 		// Its row will tell what to do with it.
 		w.rack.ignoredReports = true
 		return nil
-	case rep.State.Over() && (js == nil || o.staleReport(js, rep)):
+	case rep.State.Ended() && (js == nil || o.staleReport(js, rep)):
 		go o.acknowledge(ack{worker: w.api, id: rep.Task.ID, attempt: rep.Task.Attempt})
 		return nil
 	}
@@ -200,7 +200,7 @@
 // attempt has been placed, or a later attempt waits and this one has no answer.
 func (o *Owner) staleReport(js *jobState, rep ports.TaskReport) bool {
 	switch {
-	case js.row.State.Over():
+	case js.row.State.Final():
 		return true
 	case js.task == nil:
 		return rep.Task.Attempt < js.row.Attempt
@@ -212,7 +212,7 @@
 }
 
 func (o *Owner) adoptTask(w *worker, rep ports.TaskReport, js *jobState) *task {
-	workload := o.Tree.Now().Workloads[rep.Task.Workload]
+	workload := o.Tree.Current().Workloads[rep.Task.Workload]
 	if workload == nil {
 		workload = &tree.Workload{Path: rep.Task.Workload}
 	}
@@ -220,7 +220,7 @@
 	t.spec.Demand = rep.Task.Demand
 	t.worker, t.rack, t.job = w, w.rack, js
 	t.epoch, t.incarnation, t.sent = w.epoch, w.incarnation, true
-	if rep.State.Over() {
+	if rep.State.Ended() {
 		if js != nil {
 			js.task = t
 		}
@@ -282,7 +282,7 @@
 
 // applyFinished stores a job's answer if it is complete.
 func (o *Owner) applyFinished(t *task, rep ports.TaskReport) {
-	if err := rep.Answer.Whole(t.spec.ID, t.spec.Attempt); err != nil {
+	if err := rep.Answer.Verify(t.spec.ID, t.spec.Attempt); err != nil {
 		// The worker keeps the answer, and reports it again at the next attach.
 		level.Warn(o.Log).Log("msg", "incomplete answer from worker, attaching it again", "job", t.spec.ID, "err", err)
 		o.reattach(t.worker)
--- a/owner/report_test.go
+++ b/owner/report_test.go
@@ -76,7 +76,7 @@
 // pass lets a reply through, but delays the first one that reports a running task.
 func (l *lateWatch) pass(reply ports.WatchReply) {
 	for _, rep := range reply.Tasks {
-		if !rep.State.Over() {
+		if !rep.State.Ended() {
 			l.hold.Do(func() {
 				close(l.held)
 				<-l.release
--- a/owner/save.go
+++ b/owner/save.go
@@ -37,7 +37,7 @@
 func rowPuts(row job.Job) []ports.Put {
 	out := []ports.Put{{Key: job.RowKey(row.ID), Value: job.Encode(row)}}
 	index := ports.Put{Key: job.IndexKey(row.Rack, row.ID)}
-	if !row.State.Over() {
+	if !row.State.Final() {
 		index.Value = []byte("{}")
 		return append(out, index)
 	}
@@ -50,9 +50,9 @@
 	if row.Key == "" {
 		return c
 	}
-	key := job.KeyRow(row.Shop, row.Key)
+	key := job.RequestKeyRowKey(row.Shop, row.Key)
 	c.Checks = append(c.Checks, ports.Check{Key: key})
-	value := job.Encode(job.Key{ID: row.ID, Digest: digest})
+	value := job.Encode(job.RequestKey{ID: row.ID, Digest: digest})
 	c.Puts = append(c.Puts, ports.Put{Key: key, Value: value})
 	return c
 }
@@ -150,9 +150,9 @@
 func createError(err error, js *jobState) error {
 	switch kind.Of(err).Kind {
 	case kind.Unavailable:
-		return kind.Wrap(kind.CutOff, err, "").After(retry.MinDelay)
+		return kind.Wrap(kind.CutOff, err, "").WithRetryAfter(retry.MinDelay)
 	case kind.Lost:
-		return kind.Of(err).Uncertain(js.row.ID)
+		return kind.Of(err).WithUnknownOutcome(js.row.ID)
 	}
 	return err
 }
@@ -172,7 +172,7 @@
 	withoutTable := r.rowVersion == 0
 	o.mu.Unlock()
 	if withoutTable {
-		return kind.New(kind.CutOff, "the rack was taken without the table").After(retry.MinDelay)
+		return kind.New(kind.CutOff, "the rack was taken without the table").WithRetryAfter(retry.MinDelay)
 	}
 	ctx, cancel := context.WithTimeout(ctx, intentTimeout)
 	defer cancel()
@@ -183,7 +183,7 @@
 	defer o.mu.Unlock()
 	delete(o.creating, req.Id)
 	if o.racks[r.name] != r {
-		return kind.New(kind.Lost, "another owner took the rack while the call was being recorded").Uncertain(req.Id)
+		return kind.New(kind.Lost, "another owner took the rack while the call was being recorded").WithUnknownOutcome(req.Id)
 	}
 	t.job = js
 	o.jobs[row.ID] = js
@@ -200,7 +200,7 @@
 		o.mu.Unlock()
 		return false
 	}
-	row, err := js.row.Next(job.Dispatched)
+	row, err := js.row.Transition(job.Dispatched)
 	if err != nil {
 		o.removeTask(t)
 		o.mu.Unlock()
@@ -265,7 +265,7 @@
 	}
 	o.mu.Lock()
 	js.version = version
-	if js.row.State.Over() && !js.dirty {
+	if js.row.State.Final() && !js.dirty {
 		delete(o.jobs, js.row.ID)
 	}
 	o.mu.Unlock()
--- a/owner/send.go
+++ b/owner/send.go
@@ -37,7 +37,7 @@
 		o.endJob(t.job, job.Failed, func(j *job.Job) { j.Why = e.Kind.String() + " " + e.Detail })
 		return nil, kind.Wrap(kind.TaskFailed, err, "the worker ended it: "+e.Detail)
 	}
-	return nil, e.Uncertain(t.spec.ID)
+	return nil, e.WithUnknownOutcome(t.spec.ID)
 }
 
 // sendOnce sends a call whose row names its worker, so that it cannot be placed elsewhere. It
@@ -117,7 +117,7 @@
 	ctx, span := o.Tracer.Start(ctx, "worker.start")
 	ans, err := o.startOrJoin(ctx, t)
 	span.SetAttributes(attribute.String("dewpass.worker", t.worker.name))
-	telemetry.Fail(span, err)
+	telemetry.EndSpan(span, err)
 	return ans, err
 }
 
@@ -168,7 +168,7 @@
 	} else {
 		o.reattach(t.worker)
 	}
-	return nil, kind.Wrap(kind.Lost, err, "worker "+t.worker.name).Uncertain(t.spec.ID)
+	return nil, kind.Wrap(kind.Lost, err, "worker "+t.worker.name).WithUnknownOutcome(t.spec.ID)
 }
 
 // handleStartError handles an error of a start. Unless the worker definitely refused it, the
@@ -189,15 +189,15 @@
 		return kind.Wrap(e.Kind, err, "")
 	}
 	o.reattach(t.worker)
-	return kind.Wrap(kind.Lost, err, "worker "+t.worker.name).Uncertain(t.spec.ID)
+	return kind.Wrap(kind.Lost, err, "worker "+t.worker.name).WithUnknownOutcome(t.spec.ID)
 }
 
 // checkResult returns the answer or the error in a worker's reply.
 func (o *Owner) checkResult(t *task, rep ports.TaskReport) (*ports.Answer, error) {
 	switch rep.State {
 	case ports.TaskFinished:
-		if err := rep.Answer.Whole(t.spec.ID, t.spec.Attempt); err != nil {
-			return nil, kind.Of(err).Uncertain(t.spec.ID)
+		if err := rep.Answer.Verify(t.spec.ID, t.spec.Attempt); err != nil {
+			return nil, kind.Of(err).WithUnknownOutcome(t.spec.ID)
 		}
 		o.markEnded(t, rep)
 		return rep.Answer, nil
@@ -207,7 +207,7 @@
 	default:
 		o.markEnded(t, rep)
 		e := kind.New(kind.Lost, "the worker ended the call: "+string(rep.State))
-		return nil, e.Uncertain(t.spec.ID)
+		return nil, e.WithUnknownOutcome(t.spec.ID)
 	}
 }
 
--- a/owner/step.go
+++ b/owner/step.go
@@ -38,7 +38,7 @@
 		}
 		go o.startJob(t)
 	case sched.OpExpire:
-		t.pending.fail(kind.New(kind.Deadline, "no worker had room before the deadline").After(o.retryAfter(t)))
+		t.pending.fail(kind.New(kind.Deadline, "no worker had room before the deadline").WithRetryAfter(o.retryAfter(t)))
 		o.removeTask(t)
 	case sched.OpThrottle:
 		go o.sendAction(t, t.worker, ports.ActThrottle)
--- a/ports/gate.go
+++ b/ports/gate.go
@@ -61,7 +61,7 @@
 }
 
 func breakerOpenError(cause error) error {
-	return kind.Wrap(kind.Unavailable, cause, "circuit breaker open: recent calls to the platform got no answer").After(breakerPause)
+	return kind.Wrap(kind.Unavailable, cause, "circuit breaker open: recent calls to the platform got no answer").WithRetryAfter(breakerPause)
 }
 
 // acquire checks the breaker and waits for the rate limit. The caller must call
--- a/ports/types.go
+++ b/ports/types.go
@@ -140,8 +140,8 @@
 	TaskCheckpointed TaskState = "checkpointed"
 )
 
-// Over reports whether a task in state s no longer runs.
-func (s TaskState) Over() bool {
+// Ended reports whether a task in state s no longer runs.
+func (s TaskState) Ended() bool {
 	return s != TaskRunning && s != TaskThrottled
 }
 
--- a/ports/worker.go
+++ b/ports/worker.go
@@ -140,9 +140,9 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// Whole returns nil if a is the complete answer to the given attempt, and an
+// Verify returns nil if a is the complete answer to the given attempt, and an
 // error of kind Damaged if it is truncated or belongs to another attempt.
-func (a *Answer) Whole(id string, attempt uint32) error {
+func (a *Answer) Verify(id string, attempt uint32) error {
 	switch {
 	case a == nil:
 		return kind.New(kind.Damaged, "no answer in the report")
--- a/telemetry/calls.go
+++ b/telemetry/calls.go
@@ -10,9 +10,9 @@
 	"dewpass.org/kind"
 )
 
-// Latency returns the buckets of latency histograms. Their bounds double from
+// LatencyBuckets returns the buckets of latency histograms. Their bounds double from
 // one millisecond to about eight seconds.
-func Latency() tally.DurationBuckets {
+func LatencyBuckets() tally.DurationBuckets {
 	return tally.MustMakeExponentialDurationBuckets(time.Millisecond, 2, latencyBucketCount)
 }
 
@@ -22,21 +22,21 @@
 // is the name of the error's kind.
 const okOutcome = "ok"
 
-// Calls records the calls to one service: the counter NAME_calls_total by operation and
+// CallMetrics records the calls to one service: the counter NAME_calls_total by operation and
 // outcome, and the histogram NAME_call_seconds by operation.
-type Calls struct {
+type CallMetrics struct {
 	name    string
 	scope   tally.Scope
 	buckets tally.DurationBuckets
 }
 
-// NewCalls returns the metrics of calls to the service name.
-func NewCalls(scope tally.Scope, name string) *Calls {
-	return &Calls{name: name, scope: scope, buckets: Latency()}
+// NewCallMetrics returns the metrics of calls to the service name.
+func NewCallMetrics(scope tally.Scope, name string) *CallMetrics {
+	return &CallMetrics{name: name, scope: scope, buckets: LatencyBuckets()}
 }
 
-// Done records a call of operation op that started at start and ended with err.
-func (c *Calls) Done(op string, start time.Time, err error) {
+// Record records a call of operation op that started at start and ended with err.
+func (c *CallMetrics) Record(op string, start time.Time, err error) {
 	outcome := okOutcome
 	if err != nil {
 		outcome = kind.Of(err).Kind.String()
--- a/telemetry/telemetry.go
+++ b/telemetry/telemetry.go
@@ -48,8 +48,8 @@
 	OTLP string
 }
 
-// Quiet returns a kit that discards everything.
-func Quiet() *Kit {
+// NewNop returns a kit that discards everything.
+func NewNop() *Kit {
 	return &Kit{
 		Log:    log.NewNopLogger(),
 		Scope:  tally.NoopScope,
@@ -133,8 +133,8 @@
 	}
 }
 
-// Fail ends a span. If err is not nil, the span is marked as failed.
-func Fail(span trace.Span, err error) {
+// EndSpan ends a span. If err is not nil, the span is marked as failed.
+func EndSpan(span trace.Span, err error) {
 	if err != nil {
 		e := kind.Of(err)
 		span.SetAttributes(attribute.String("dewpass.kind", e.Kind.String()))
--- a/test/bed/process.go
+++ b/test/bed/process.go
@@ -37,7 +37,7 @@
 		p.client = &client.Client{Base: "http://" + p.Addr.HTTP, HTTP: newHTTP()}
 		if pair := p.pair(); pair != nil {
 			p.client.Base = "https://" + p.Addr.HTTP
-			p.client.HTTP.Transport.(*http.Transport).TLSClientConfig = pair.Client("127.0.0.1")
+			p.client.HTTP.Transport.(*http.Transport).TLSClientConfig = pair.ClientConfig("127.0.0.1")
 		}
 	}
 	return p.client
--- a/test/load/item.go
+++ b/test/load/item.go
@@ -110,7 +110,7 @@
 		if kind.Is(err, kind.NotFound) {
 			return row, err
 		}
-		if err == nil && (row.State.Over() || row.State == job.Unknown) {
+		if err == nil && (row.State.Final() || row.State == job.Unknown) {
 			return row, checkRow(it, row)
 		}
 		select {
--- a/test/proof/failure_test.go
+++ b/test/proof/failure_test.go
@@ -180,7 +180,7 @@
 		setPlatform(ctx, b, standin.Faults{})
 		Eventually(func(g Gomega) {
 			var rows []ports.Row
-			path := "/record/rows?prefix=" + job.KeyRow(it.Shop, it.Key)
+			path := "/record/rows?prefix=" + job.RequestKeyRowKey(it.Shop, it.Key)
 			g.Expect(b.Admin.Do(ctx, http.MethodGet, path, nil, &rows)).To(Succeed())
 			g.Expect(rows).To(HaveLen(1))
 		}).Should(Succeed())
--- a/test/proof/service_test.go
+++ b/test/proof/service_test.go
@@ -23,7 +23,7 @@
 		var list front.JobList
 		Expect(b.Entries[0].Client().Do(ctx, "GET", "/v1/jobs?limit=1000&workload=tintline/matcher&after="+after, nil, &list)).To(Succeed())
 		for _, j := range list.Jobs {
-			if !j.State.Over() {
+			if !j.State.Final() {
 				live = append(live, j)
 			}
 		}
--- a/tree/compile.go
+++ b/tree/compile.go
@@ -29,12 +29,12 @@
 type CutOff string
 
 const (
-	// Hold does not start such a task elsewhere until its hall is reachable again
+	// CutOffHold does not start such a task elsewhere until its hall is reachable again
 	// or an operator marks the hall as lost.
-	Hold CutOff = "hold"
-	// Move starts the task elsewhere after MoveAfter. The unreachable hall stops
+	CutOffHold CutOff = "hold"
+	// CutOffMove starts the task elsewhere after MoveAfter. The unreachable hall stops
 	// it on its own before then.
-	Move CutOff = "move"
+	CutOffMove CutOff = "move"
 )
 
 // Workload is a workload with all of its settings resolved.
@@ -94,8 +94,8 @@
 	Reserve int64
 }
 
-// Names returns the paths of the workloads in sorted order.
-func (c *Compiled) Names() []string {
+// WorkloadPaths returns the paths of the workloads in sorted order.
+func (c *Compiled) WorkloadPaths() []string {
 	names := make([]string, 0, len(c.Workloads))
 	for name := range c.Workloads {
 		names = append(names, name)
@@ -323,7 +323,7 @@
 	if w.Keep < minKeep {
 		c.addFault(names, "keep", "must be at least "+minKeep.String())
 	}
-	if w.CutOff == Move && w.MoveAfter < minMoveAfter {
+	if w.CutOff == CutOffMove && w.MoveAfter < minMoveAfter {
 		c.addFault(names, "move-after", "must be at least "+minMoveAfter.String())
 	}
 }
--- a/tree/store.go
+++ b/tree/store.go
@@ -165,7 +165,7 @@
 func (s *Store) readBack(ctx context.Context, e Edit, lost error) (Entry, bool, error) {
 	entry, ok, err := s.acceptedEntry(ctx, e.ID)
 	if err != nil {
-		return Entry{}, false, kind.Wrap(kind.Lost, lost, "the edit may have been accepted").Uncertain(e.ID)
+		return Entry{}, false, kind.Wrap(kind.Lost, lost, "the edit may have been accepted").WithUnknownOutcome(e.ID)
 	}
 	return entry, ok, nil
 }
@@ -275,8 +275,8 @@
 	current *Compiled
 }
 
-// Now returns the tree in force.
-func (r *Register) Now() *Compiled {
+// Current returns the tree in force.
+func (r *Register) Current() *Compiled {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
 	if r.current == nil {
@@ -300,7 +300,7 @@
 // InstallHead parses, compiles and installs the tree of a head row, and reports
 // whether it was installed.
 func (r *Register) InstallHead(h Head) (bool, error) {
-	if h.Version <= r.Now().Version {
+	if h.Version <= r.Current().Version {
 		return false, nil
 	}
 	doc, err := Parse(h.Doc)
--- a/tree/tree_test.go
+++ b/tree/tree_test.go
@@ -44,7 +44,7 @@
 	It("resolves each value and reports the branch that sets it", func() {
 		c, err := tree.Compile(parse(sampleDoc), 7)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(c.Names()).To(Equal([]string{"a/x", "a/y", "b"}))
+		Expect(c.WorkloadPaths()).To(Equal([]string{"a/x", "a/y", "b"}))
 		y := c.Workloads["a/y"]
 		Expect(y.Team).To(Equal("a"))
 		Expect(y.Class).To(Equal(sched.Urgent))
@@ -227,7 +227,7 @@
 		Expect(install(2)).To(BeFalse())
 		Expect(install(3)).To(BeFalse())
 		Expect(r.Install(&tree.Compiled{Version: 2})).To(BeFalse(), "also without the version check of InstallHead")
-		Expect(r.Now().Version).To(BeEquivalentTo(3))
+		Expect(r.Current().Version).To(BeEquivalentTo(3))
 	})
 })
 
