--- a/commit/commit.go
+++ b/commit/commit.go
@@ -166,7 +166,8 @@
 	j.lastTxnFailed = failing
 }
 
-// Run commits changes until ctx ends. Remaining changes fail then.
+// Run commits changes until ctx ends. Changes that are pending then are not sent;
+// Commit returns when the contexts of their callers end.
 func (j *Journal) Run(ctx context.Context) {
 	for {
 		batch := j.nextBatch()
--- a/job/expiry.go
+++ b/job/expiry.go
@@ -38,7 +38,8 @@
 func ExpiryPrefix(hall string) string { return expiryPrefix + hall + "/" }
 
 // ExpiryBound returns a key that sorts after the keys of all expiry rows due
-// before now, and before the keys of all others.
+// before now, and before the keys of all others. It also is the prefix of the keys
+// of rows due at now, which has a resolution of one second.
 func ExpiryBound(hall string, now time.Time) string {
 	return ExpiryPrefix(hall) + now.UTC().Format(expiryTimeFormat) + "/"
 }
--- a/kind/doc.go
+++ b/kind/doc.go
@@ -7,7 +7,8 @@
 // whether the caller may send the request again, and its default outcome: that
 // the work certainly did not run, that it ran, or that this is not known. Code
 // that fails makes an Error with New, Wrap or At and returns it unchanged; only
-// the code that writes a response reads the table. Of returns the Kind of any
-// error and maps unknown errors to Internal with outcome Unknown, so that they
-// never claim that the work did not run.
+// the code that writes a response or exits the process reads the table. Of
+// returns the Error in the chain of any error and wraps unknown errors as
+// Internal with outcome Unknown, so that they never claim that the work did not
+// run.
 package kind
--- a/telemetry/telemetry.go
+++ b/telemetry/telemetry.go
@@ -26,7 +26,7 @@
 )
 
 // Kit holds the logger, metrics scope and tracer of an instance. Make one with
-// New, or with Quiet in tests.
+// New, or with NewNop in tests.
 type Kit struct {
 	Log    log.Logger
 	Scope  tally.Scope
