--- a/driver/carry.go
+++ b/driver/carry.go
@@ -161,7 +161,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	queued := d.sendFinished(size, took, err != nil)
-	d.lateness.Saw(o.Worker, queued, clock.Now())
+	d.lateness.Observe(o.Worker, queued, clock.Now())
 	d.startAnswered(&o, StartResult{Answer: a, Err: err, Took: took})
 }
 
--- a/driver/carry_test.go
+++ b/driver/carry_test.go
@@ -295,12 +295,12 @@
 		Expect(d.orderTimeout(l, now)).To(Equal(minOrderTimeout))
 		Expect(d.holdWait(l, now)).To(Equal(d.cell.MaxPollWait(l.id)))
 		for _, w := range []string{"a", "b", "c"} {
-			d.lateness.Saw(w, 200*time.Millisecond, now)
+			d.lateness.Observe(w, 200*time.Millisecond, now)
 		}
 		Expect(d.orderTimeout(l, now)).To(Equal(minOrderTimeout + 200*time.Millisecond))
 		Expect(d.holdWait(l, now)).To(Equal(maxHoldWait), "long polls are what the link can do without")
 		for _, w := range []string{"a", "b", "c"} {
-			d.lateness.Saw(w, time.Minute, now)
+			d.lateness.Observe(w, time.Minute, now)
 		}
 		Expect(d.orderTimeout(l, now)).To(Equal(maxOrderTimeout))
 	})
--- a/driver/driver.go
+++ b/driver/driver.go
@@ -102,7 +102,7 @@
 	// loggedInvalid holds, by worker, the reason last logged for an invalid entry.
 	loggedInvalid map[string]string
 	// lateness estimates the delay of workers' answers that this side causes.
-	lateness rtt.Common
+	lateness rtt.SharedDelay
 	// throttledAt is when orders were last held back because the link was full.
 	throttledAt time.Time
 	// attachSlots limits, by hall, how many workers are attached at once.
--- a/driver/hold.go
+++ b/driver/hold.go
@@ -126,7 +126,7 @@
 // answers are late on this side, since the link can do without long polls first. The lock is held.
 func (d *Driver) holdWait(l *link, now time.Time) time.Duration {
 	wait := d.cell.MaxPollWait(l.id)
-	late := d.lateness.By(now)
+	late := d.lateness.Current(now)
 	return min(wait+wait*time.Duration(late/latenessStep), max(wait, maxHoldWait))
 }
 
@@ -170,7 +170,7 @@
 	if o.Wait == 0 {
 		l.answerTimes.Answered(now.Sub(sent))
 	} else if late := now.Sub(sent) - o.Wait; late > 0 {
-		d.lateness.Saw(l.id, late, now)
+		d.lateness.Observe(l.id, late, now)
 	}
 	switch another := l.isOtherLife(a.Lists.Born); {
 	case l.fence != o.Fence || (!attach && !l.attached):
--- a/driver/link.go
+++ b/driver/link.go
@@ -111,13 +111,13 @@
 
 // orderTimeout returns the timeout of an order by the worker's own response times.
 func (l *link) orderTimeout() time.Duration {
-	return l.answerTimes.Wait(minOrderTimeout, maxOrderTimeout)
+	return l.answerTimes.Timeout(minOrderTimeout, maxOrderTimeout)
 }
 
 // orderTimeout returns the timeout of an order. It is longer while the answers of several workers
 // are late, which is then no sign that a single one is lost. The lock is held.
 func (d *Driver) orderTimeout(l *link, now time.Time) time.Duration {
-	return min(l.orderTimeout()+d.lateness.By(now), maxOrderTimeout)
+	return min(l.orderTimeout()+d.lateness.Current(now), maxOrderTimeout)
 }
 
 // timerDelayThreshold is the timer delay from which this process counts as not having run: the
--- a/driver/watch.go
+++ b/driver/watch.go
@@ -71,7 +71,7 @@
 
 // readDirectory reads the directory, and gives up if it makes no progress for the given time.
 func (d *Driver) readDirectory(stallLimit time.Duration) ([]Entry, error) {
-	ctx, cancel := stall.Context(d.ctx, stall.Limits{First: stallLimit, Gap: maxReadStall, Whole: maxReadTime}, nil)
+	ctx, cancel := stall.Context(d.ctx, stall.Limits{FirstByte: stallLimit, Gap: maxReadStall, Total: maxReadTime}, nil)
 	defer cancel()
 	return d.Directory.All(ctx)
 }
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -32,16 +32,16 @@
 
 // Options configures a Pool.
 type Options struct {
-	// Idle is the maximum number of idle connections to an address, and Most that of all
+	// MaxIdlePerAddr is the maximum number of idle connections to an address, and MaxPerAddr that of all
 	// connections to it, 0 for no limit.
-	Idle, Most int
+	MaxIdlePerAddr, MaxPerAddr int
 	// Dial opens a connection.
 	Dial func(ctx context.Context, network, addr string) (net.Conn, error)
-	// Unused is how long an unused connection, and the pool's entry for an unused address,
+	// IdleTimeout is how long an unused connection, and the pool's entry for an unused address,
 	// are kept.
-	Unused time.Duration
-	// Buffer is the size in bytes of a connection's read buffer and of its write buffer.
-	Buffer int
+	IdleTimeout time.Duration
+	// BufferSize is the size in bytes of a connection's read buffer and of its write buffer.
+	BufferSize int
 }
 
 // addrEntry is the Pool's state for one address.
@@ -85,12 +85,12 @@
 // evictUnused removes addresses that have not been used for Options.Unused, as workers come and
 // go. The caller holds p.mu.
 func (p *Pool) evictUnused(now time.Time) {
-	if now.Sub(p.lastSweep) < p.options.Unused {
+	if now.Sub(p.lastSweep) < p.options.IdleTimeout {
 		return
 	}
 	p.lastSweep = now
 	for addr, a := range p.addrs {
-		if now.Sub(a.lastUsed) > p.options.Unused {
+		if now.Sub(a.lastUsed) > p.options.IdleTimeout {
 			a.transport.CloseIdleConnections()
 			delete(p.addrs, addr)
 		}
@@ -110,10 +110,10 @@
 	return &http.Transport{
 		DialContext:         o.Dial,
 		DisableCompression:  true,
-		MaxIdleConnsPerHost: o.Idle,
-		MaxConnsPerHost:     o.Most,
-		IdleConnTimeout:     o.Unused,
-		ReadBufferSize:      o.Buffer,
-		WriteBufferSize:     o.Buffer,
+		MaxIdleConnsPerHost: o.MaxIdlePerAddr,
+		MaxConnsPerHost:     o.MaxPerAddr,
+		IdleConnTimeout:     o.IdleTimeout,
+		ReadBufferSize:      o.BufferSize,
+		WriteBufferSize:     o.BufferSize,
 	}
 }
--- a/internal/pool/pool_test.go
+++ b/internal/pool/pool_test.go
@@ -24,7 +24,7 @@
 }
 
 func options(idle int) Options {
-	return Options{Idle: idle, Dial: new(net.Dialer).DialContext, Unused: time.Minute}
+	return Options{MaxIdlePerAddr: idle, Dial: new(net.Dialer).DialContext, IdleTimeout: time.Minute}
 }
 
 // call sends a request and reads the whole response.
@@ -95,8 +95,8 @@
 		defer cancel()
 		err := call(short, p, http.MethodGet, m.Addr(), path)
 		Expect(err).To(MatchError(context.DeadlineExceeded))
-		Eventually(m.Open).Should(Equal(idle - 1))
-		Consistently(m.Open).Should(Equal(idle - 1))
+		Eventually(m.OpenConns).Should(Equal(idle - 1))
+		Consistently(m.OpenConns).Should(Equal(idle - 1))
 	})
 
 	It("evicts addresses that are not used any more", func() {
@@ -131,10 +131,10 @@
 		all.Go(func() { _ = call(context.Background(), p, http.MethodGet, m.Addr(), "/") })
 	}
 	all.Wait()
-	g.Expect(m.Open()).To(Equal(4))
+	g.Expect(m.OpenConns()).To(Equal(4))
 	ctx, cancel := context.WithCancel(context.Background())
 	time.AfterFunc(2*silenceThreshold, cancel)
 	err = call(ctx, p, http.MethodGet, m.Addr(), "/hold")
 	g.Expect(err).To(HaveOccurred())
-	g.Consistently(m.Open, 500*time.Millisecond).Should(BeNumerically(">=", 3))
+	g.Consistently(m.OpenConns, 500*time.Millisecond).Should(BeNumerically(">=", 3))
 }
--- a/internal/rtt/common.go
+++ b/internal/rtt/common.go
@@ -12,10 +12,10 @@
 	minDelayedPeers = 3
 )
 
-// Common tracks by how much the answers of several peers are late at the same time. All that
+// SharedDelay tracks by how much the answers of several peers are late at the same time. All that
 // these peers have in common is the sender's own link and processor, so a delay of all of
 // them is the sender's. Its zero value is ready for use.
-type Common struct {
+type SharedDelay struct {
 	// current and previous hold the peers with the largest delays of the present span and of
 	// the one before it.
 	current, previous [minDelayedPeers]peerDelay
@@ -28,8 +28,8 @@
 	delay time.Duration
 }
 
-// Saw records that an answer of a peer was late by a duration.
-func (c *Common) Saw(peer string, delay time.Duration, now time.Time) {
+// Observe records that an answer of a peer was late by a duration.
+func (c *SharedDelay) Observe(peer string, delay time.Duration, now time.Time) {
 	c.rotate(now)
 	smallest := 0
 	for i := range c.current {
@@ -46,9 +46,9 @@
 	}
 }
 
-// By returns the delay that the answers of at least minDelayedPeers peers have had within the
+// Current returns the delay that the answers of at least minDelayedPeers peers have had within the
 // last two spans, 0 if there are fewer such peers.
-func (c *Common) By(now time.Time) time.Duration {
+func (c *SharedDelay) Current(now time.Time) time.Duration {
 	c.rotate(now)
 	return max(minDelay(&c.current), minDelay(&c.previous))
 }
@@ -63,7 +63,7 @@
 }
 
 // rotate starts a new span if the present one has ended.
-func (c *Common) rotate(now time.Time) {
+func (c *SharedDelay) rotate(now time.Time) {
 	switch elapsed := now.Sub(c.spanStart); {
 	case elapsed < sharedSpan:
 		return
--- a/internal/rtt/common_test.go
+++ b/internal/rtt/common_test.go
@@ -13,19 +13,19 @@
 // and were considered lost after 0.1 s.
 func TestCommonDelayNeedsSeveralLatePeers(t *testing.T) {
 	g := NewWithT(t)
-	var c Common
+	var c SharedDelay
 	now := time.Unix(1000, 0)
-	g.Expect(c.By(now)).To(BeZero())
-	c.Saw("a", 200*time.Millisecond, now)
-	c.Saw("b", 150*time.Millisecond, now)
-	c.Saw("b", 900*time.Millisecond, now)
-	g.Expect(c.By(now)).To(BeZero(), "one or two peers may be slow themselves")
-	c.Saw("c", 120*time.Millisecond, now)
-	c.Saw("d", 5*time.Millisecond, now)
-	g.Expect(c.By(now)).To(Equal(120 * time.Millisecond))
+	g.Expect(c.Current(now)).To(BeZero())
+	c.Observe("a", 200*time.Millisecond, now)
+	c.Observe("b", 150*time.Millisecond, now)
+	c.Observe("b", 900*time.Millisecond, now)
+	g.Expect(c.Current(now)).To(BeZero(), "one or two peers may be slow themselves")
+	c.Observe("c", 120*time.Millisecond, now)
+	c.Observe("d", 5*time.Millisecond, now)
+	g.Expect(c.Current(now)).To(Equal(120 * time.Millisecond))
 	now = now.Add(sharedSpan + time.Millisecond)
-	c.Saw("a", time.Millisecond, now)
-	g.Expect(c.By(now)).To(Equal(120*time.Millisecond), "a delay also counts in the next span")
-	g.Expect(c.By(now.Add(sharedSpan))).To(BeZero())
-	g.Expect(c.By(now.Add(time.Minute))).To(BeZero())
+	c.Observe("a", time.Millisecond, now)
+	g.Expect(c.Current(now)).To(Equal(120*time.Millisecond), "a delay also counts in the next span")
+	g.Expect(c.Current(now.Add(sharedSpan))).To(BeZero())
+	g.Expect(c.Current(now.Add(time.Minute))).To(BeZero())
 }
--- a/internal/rtt/rtt.go
+++ b/internal/rtt/rtt.go
@@ -38,9 +38,9 @@
 // Lost records that no answer came in time.
 func (e *Estimate) Lost() { e.losses = min(e.losses+1, maxDoublings) }
 
-// Wait returns how long to wait for the next answer, at least minimum and at most maximum.
+// Timeout returns how long to wait for the next answer, at least minimum and at most maximum.
 // Before the first answer it is twice the minimum, as a connection may have to be set up.
-func (e *Estimate) Wait(minimum, maximum time.Duration) time.Duration {
+func (e *Estimate) Timeout(minimum, maximum time.Duration) time.Duration {
 	wait := max(e.mean+deviationFactor*e.deviation, minimum)
 	if e.mean == 0 {
 		wait = 2 * minimum
--- a/internal/rtt/rtt_test.go
+++ b/internal/rtt/rtt_test.go
@@ -17,9 +17,9 @@
 func TestFirstWaitIsTwiceTheMinimum(t *testing.T) {
 	g := NewWithT(t)
 	var e Estimate
-	g.Expect(e.Wait(minTimeout, maxTimeout)).To(Equal(2 * minTimeout))
+	g.Expect(e.Timeout(minTimeout, maxTimeout)).To(Equal(2 * minTimeout))
 	e.Lost()
-	g.Expect(e.Wait(minTimeout, maxTimeout)).To(Equal(4 * minTimeout))
+	g.Expect(e.Timeout(minTimeout, maxTimeout)).To(Equal(4 * minTimeout))
 }
 
 func TestWaitFollowsAnswerTimes(t *testing.T) {
@@ -28,13 +28,13 @@
 	for range 50 {
 		e.Answered(4 * time.Millisecond)
 	}
-	g.Expect(e.Wait(minTimeout, maxTimeout)).To(Equal(minTimeout))
+	g.Expect(e.Timeout(minTimeout, maxTimeout)).To(Equal(minTimeout))
 	for range 50 {
 		e.Answered(150 * time.Millisecond)
 	}
-	g.Expect(e.Wait(minTimeout, maxTimeout)).To(BeNumerically("~", 150*time.Millisecond, 10*time.Millisecond))
+	g.Expect(e.Timeout(minTimeout, maxTimeout)).To(BeNumerically("~", 150*time.Millisecond, 10*time.Millisecond))
 	e.Answered(300 * time.Millisecond)
-	g.Expect(e.Wait(minTimeout, maxTimeout)).To(BeNumerically(">", 300*time.Millisecond), "the wait grows with the variation of the answer times")
+	g.Expect(e.Timeout(minTimeout, maxTimeout)).To(BeNumerically(">", 300*time.Millisecond), "the wait grows with the variation of the answer times")
 }
 
 func TestWaitDoublesWithEachLossUntilTheNextAnswer(t *testing.T) {
@@ -42,11 +42,11 @@
 	var e Estimate
 	e.Answered(4 * time.Millisecond)
 	e.Lost()
-	g.Expect(e.Wait(minTimeout, maxTimeout)).To(Equal(2 * minTimeout))
+	g.Expect(e.Timeout(minTimeout, maxTimeout)).To(Equal(2 * minTimeout))
 	e.Lost()
-	g.Expect(e.Wait(minTimeout, maxTimeout)).To(Equal(4 * minTimeout))
+	g.Expect(e.Timeout(minTimeout, maxTimeout)).To(Equal(4 * minTimeout))
 	e.Lost()
-	g.Expect(e.Wait(minTimeout, maxTimeout)).To(Equal(maxTimeout))
+	g.Expect(e.Timeout(minTimeout, maxTimeout)).To(Equal(maxTimeout))
 	e.Answered(4 * time.Millisecond)
-	g.Expect(e.Wait(minTimeout, maxTimeout)).To(Equal(minTimeout))
+	g.Expect(e.Timeout(minTimeout, maxTimeout)).To(Equal(minTimeout))
 }
--- a/internal/stall/stall.go
+++ b/internal/stall/stall.go
@@ -11,11 +11,11 @@
 
 // Limits bounds how long a call may go without progress, and how long it may take in all.
 type Limits struct {
-	// First bounds the wait for the first byte of the answer, Gap that for each further one.
-	First, Gap time.Duration
-	// Whole bounds the total time of the call, so that a call that receives a few bytes now and
+	// FirstByte bounds the wait for the first byte of the answer, Gap that for each further one.
+	FirstByte, Gap time.Duration
+	// Total bounds the total time of the call, so that a call that receives a few bytes now and
 	// then ends too.
-	Whole time.Duration
+	Total time.Duration
 }
 
 // contextKey is the key of the watchdog in the context of a call.
@@ -34,10 +34,10 @@
 // a call makes no progress within its limits. onProgress is called on each progress; it may
 // be nil.
 func Context(parent context.Context, l Limits, onProgress func()) (context.Context, context.CancelFunc) {
-	ctx, cancel := context.WithTimeoutCause(parent, l.Whole, context.DeadlineExceeded)
+	ctx, cancel := context.WithTimeoutCause(parent, l.Total, context.DeadlineExceeded)
 	ctx, stop := context.WithCancelCause(ctx)
 	w := &watchdog{limits: l, onProgress: onProgress}
-	w.timer = time.AfterFunc(l.First, func() { stop(context.DeadlineExceeded) })
+	w.timer = time.AfterFunc(l.FirstByte, func() { stop(context.DeadlineExceeded) })
 	return context.WithValue(ctx, contextKey{}, w), func() {
 		w.timer.Stop()
 		stop(context.Canceled)
@@ -45,8 +45,8 @@
 	}
 }
 
-// Moved reports progress of the call of ctx. It does nothing if ctx does not come from Context.
-func Moved(ctx context.Context) {
+// Progress reports progress of the call of ctx. It does nothing if ctx does not come from Context.
+func Progress(ctx context.Context) {
 	w, ok := ctx.Value(contextKey{}).(*watchdog)
 	if !ok {
 		return
@@ -73,7 +73,7 @@
 func (r *progressReader) Read(p []byte) (int, error) {
 	n, err := r.r.Read(p)
 	if n > 0 {
-		Moved(r.ctx)
+		Progress(r.ctx)
 	}
 	return n, err
 }
--- a/internal/stall/stall_test.go
+++ b/internal/stall/stall_test.go
@@ -12,7 +12,7 @@
 	. "github.com/onsi/gomega"
 )
 
-var limits = Limits{First: 300 * time.Millisecond, Gap: 300 * time.Millisecond, Whole: time.Minute}
+var limits = Limits{FirstByte: 300 * time.Millisecond, Gap: 300 * time.Millisecond, Total: time.Minute}
 
 func TestSlowAnswerIsNotCancelled(t *testing.T) {
 	g := NewWithT(t)
@@ -22,7 +22,7 @@
 	// Ten times the limit on a gap between bytes.
 	for range 60 {
 		time.Sleep(50 * time.Millisecond)
-		Moved(ctx)
+		Progress(ctx)
 	}
 	g.Expect(ctx.Err()).NotTo(HaveOccurred())
 	g.Expect(progress).To(Equal(60))
@@ -37,22 +37,22 @@
 
 	ctx, cancel = Context(context.Background(), limits, nil)
 	defer cancel()
-	Moved(ctx)
+	Progress(ctx)
 	g.Eventually(ctx.Done(), 2*time.Second).Should(BeClosed(), "no byte after the first")
-	Moved(ctx)
+	Progress(ctx)
 	g.Consistently(ctx.Err).Should(HaveOccurred(), "later progress does not revive the call")
 }
 
 func TestTotalTimeIsBounded(t *testing.T) {
 	g := NewWithT(t)
 	l := limits
-	l.Whole = 500 * time.Millisecond
+	l.Total = 500 * time.Millisecond
 	ctx, cancel := Context(context.Background(), l, nil)
 	defer cancel()
 	begun := time.Now()
 	for ctx.Err() == nil && time.Since(begun) < 5*time.Second {
 		time.Sleep(20 * time.Millisecond)
-		Moved(ctx)
+		Progress(ctx)
 	}
 	g.Expect(ctx.Err()).To(HaveOccurred())
 }
@@ -65,5 +65,5 @@
 	_, err := io.ReadAll(Reader(ctx, strings.NewReader("abc")))
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(progress).To(Equal(1))
-	Moved(context.Background())
+	Progress(context.Background())
 }
--- a/link/silent_test.go
+++ b/link/silent_test.go
@@ -41,9 +41,9 @@
 		accepted := slices.Collect(maps.Keys(s.sessions))[0]
 		s.mu.Unlock()
 		Eventually(accepted.NumStreams).Should(BeZero(), "the last stream is closed")
-		p.SilenceLate()
+		p.SilenceOnWrite()
 		go func() { _, _ = accepted.Ping() }()
-		Eventually(p.Held).Should(BeNumerically(">", 0))
+		Eventually(p.HeldBytes).Should(BeNumerically(">", 0))
 		silent := time.Now()
 		Eventually(ask, 10*time.Second, 250*time.Millisecond).Should(Succeed())
 		AddReportEntry("answers again after", time.Since(silent))
--- a/ports/http.go
+++ b/ports/http.go
@@ -59,7 +59,7 @@
 func newPool(maxIdle, maxConns int) *pool.Pool {
 	dialer := &net.Dialer{Timeout: dialTimeout}
 	return pool.New(pool.Options{
-		Idle: maxIdle, Most: maxConns, Dial: dialer.DialContext, Unused: idleConnTimeout, Buffer: bufferSize,
+		MaxIdlePerAddr: maxIdle, MaxPerAddr: maxConns, Dial: dialer.DialContext, IdleTimeout: idleConnTimeout, BufferSize: bufferSize,
 	})
 }
 
--- a/rows/client.go
+++ b/rows/client.go
@@ -219,7 +219,7 @@
 		case o := <-results:
 			pending--
 			if o.err == nil {
-				stall.Moved(ctx)
+				stall.Progress(ctx)
 				o.deliver()
 				return nil
 			}
@@ -308,11 +308,11 @@
 func (c *Client) callDirect(ctx context.Context, firstByte time.Duration, progress func(), direct func(context.Context) error) error {
 	begun := c.Now()
 	var latency time.Duration
-	limits := stall.Limits{First: firstByte, Gap: directTimeout, Whole: maxTransferTime}
+	limits := stall.Limits{FirstByte: firstByte, Gap: directTimeout, Total: maxTransferTime}
 	caller := ctx
 	ctx, cancel := stall.Context(ctx, limits, func() {
 		// The caller's context may have a tighter stall limit.
-		stall.Moved(caller)
+		stall.Progress(caller)
 		receivedAt := c.noteDirectData()
 		if latency == 0 {
 			latency = receivedAt.Sub(begun)
--- a/rows/client_test.go
+++ b/rows/client_test.go
@@ -140,7 +140,7 @@
 	for range t.parts {
 		select {
 		case <-time.After(100 * time.Millisecond):
-			stall.Moved(ctx)
+			stall.Progress(ctx)
 		case <-ctx.Done():
 			return Page{}, kind.Wrap(kind.Lost, ctx.Err(), "store")
 		}
--- a/test/bed/bed.go
+++ b/test/bed/bed.go
@@ -53,7 +53,7 @@
 	Config  StandIn
 	Entries []*Process
 	standIn *Process
-	lane    *port.Lane
+	lane    *port.Range
 	// Admin speaks to the stand-in's switches and record.
 	Admin *client.Client
 	// Balancer speaks to any entry.
@@ -69,7 +69,7 @@
 
 // Start starts a deployment and waits until every entry is ready.
 func Start(ctx context.Context, o Options) (*Bed, error) {
-	lane, err := port.Take()
+	lane, err := port.Reserve()
 	if err != nil {
 		return nil, err
 	}
--- a/test/bed/config.go
+++ b/test/bed/config.go
@@ -47,13 +47,13 @@
 }
 
 // plan lays a deployment out on free ports of the loopback.
-func plan(d Deployment, perHall int, lane *port.Lane) (StandIn, error) {
+func plan(d Deployment, perHall int, lane *port.Range) (StandIn, error) {
 	needed := 2
 	for i := range d.Halls {
 		entries, racks := d.size(i, perHall)
 		needed += 2*entries + racks*d.WorkersPerRack
 	}
-	addrs, err := lane.Free(needed)
+	addrs, err := lane.Allocate(needed)
 	if err != nil {
 		return StandIn{}, err
 	}
--- a/test/cluster/bed_test.go
+++ b/test/cluster/bed_test.go
@@ -132,7 +132,7 @@
 // newTestbed makes a testbed without starting its instances.
 func newTestbed(cells int, more ...func(*world.Options)) *testbed {
 	GinkgoHelper()
-	lane, err := port.Take()
+	lane, err := port.Reserve()
 	Expect(err).NotTo(HaveOccurred())
 	o := world.Options{Halls: halls, PerHall: 4, CPU: 8000, Mem: 16000, Seed: 7, Host: local, WorkerAddr: addressSource(lane)}
 	for _, f := range more {
@@ -180,12 +180,12 @@
 
 // addressSource returns a function that reserves one more address of the lane at each call.
 // No other process gets these addresses while the lane is held.
-func addressSource(lane *port.Lane) func() (string, error) {
+func addressSource(lane *port.Range) func() (string, error) {
 	var mu sync.Mutex
 	return func() (string, error) {
 		mu.Lock()
 		defer mu.Unlock()
-		addrs, err := lane.Free(1)
+		addrs, err := lane.Allocate(1)
 		if err != nil {
 			return "", err
 		}
@@ -193,10 +193,10 @@
 	}
 }
 
-func newInstance(i int, dir string, lane *port.Lane) *instance {
+func newInstance(i int, dir string, lane *port.Range) *instance {
 	GinkgoHelper()
 	// The workers have their addresses by now, and none is added while instances are made.
-	addrs, err := lane.Free(4)
+	addrs, err := lane.Allocate(4)
 	Expect(err).NotTo(HaveOccurred())
 	name := fmt.Sprintf("%s-%d", halls[i%len(halls)], i/len(halls)+1)
 	return &instance{
--- a/test/cluster/thinlink_test.go
+++ b/test/cluster/thinlink_test.go
@@ -86,12 +86,12 @@
 func linkUse(links []*thinlink.Link, d time.Duration) []float64 {
 	before := make([]int64, len(links))
 	for i, l := range links {
-		before[i] = l.Carried()
+		before[i] = l.ForwardedBytes()
 	}
 	time.Sleep(d)
 	shares := make([]float64, len(links))
 	for i, l := range links {
-		shares[i] = float64(l.Carried()-before[i]) / (linkRate * d.Seconds())
+		shares[i] = float64(l.ForwardedBytes()-before[i]) / (linkRate * d.Seconds())
 	}
 	return shares
 }
--- a/test/demo/cluster.go
+++ b/test/demo/cluster.go
@@ -50,7 +50,7 @@
 	}
 	defer w.Close()
 	w.Configure(1, demoHost, demoPrefix)
-	lane, err := port.Take()
+	lane, err := port.Reserve()
 	if err != nil {
 		return err
 	}
@@ -82,7 +82,7 @@
 	return nil
 }
 
-func startMembers(w *world.World, lane *port.Lane, dir string, perHall int) ([]*member, error) {
+func startMembers(w *world.World, lane *port.Range, dir string, perHall int) ([]*member, error) {
 	var members []*member
 	var first string
 	for _, hall := range demoHalls {
@@ -105,8 +105,8 @@
 }
 
 // writeSettings writes the settings of a member and returns its address for peers.
-func (m *member) writeSettings(w *world.World, lane *port.Lane, dir, hall, first string) (string, error) {
-	addrs, err := lane.Free(3)
+func (m *member) writeSettings(w *world.World, lane *port.Range, dir, hall, first string) (string, error) {
+	addrs, err := lane.Allocate(3)
 	if err != nil {
 		return "", err
 	}
--- a/test/mute/mute.go
+++ b/test/mute/mute.go
@@ -64,10 +64,10 @@
 	return n
 }
 
-// SilenceLate makes each open connection silent as soon as its dialer sends something. Data
+// SilenceOnWrite makes each open connection silent as soon as its dialer sends something. Data
 // that arrives for the dialer until then is delivered right after that, like data that was
 // in transit.
-func (p *Proxy) SilenceLate() {
+func (p *Proxy) SilenceOnWrite() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for c := range p.pairs {
@@ -77,8 +77,8 @@
 	}
 }
 
-// Held returns the number of bytes that are held back until their dialers send something.
-func (p *Proxy) Held() int {
+// HeldBytes returns the number of bytes that are held back until their dialers send something.
+func (p *Proxy) HeldBytes() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	n := 0
@@ -90,8 +90,8 @@
 	return n
 }
 
-// Open returns the number of open connections that are not silent.
-func (p *Proxy) Open() int {
+// OpenConns returns the number of open connections that are not silent.
+func (p *Proxy) OpenConns() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	n := 0
--- a/test/port/port.go
+++ b/test/port/port.go
@@ -26,30 +26,30 @@
 	rangeCount = 16
 )
 
-// Lane is a range of ports reserved for one test process. It is reserved while lock, a
+// Range is a range of ports reserved for one test process. It is reserved while lock, a
 // listener on its first port, is open.
-type Lane struct {
+type Range struct {
 	lock net.Listener
 	next int
 	end  int
 }
 
-// Take reserves a range that is not reserved yet. It fails if all are.
-func Take() (*Lane, error) {
+// Reserve reserves a range that is not reserved yet. It fails if all are.
+func Reserve() (*Range, error) {
 	for i := range rangeCount {
 		begin := firstPort + i*rangeSize
 		lock, err := net.Listen("tcp", address(begin))
 		if err != nil {
 			continue
 		}
-		return &Lane{lock: lock, next: begin + 1, end: begin + rangeSize}, nil
+		return &Range{lock: lock, next: begin + 1, end: begin + rangeSize}, nil
 	}
 	return nil, errors.Errorf("all %d port ranges are reserved", rangeCount)
 }
 
-// Free returns n addresses on which nobody listens. It never returns the same address
+// Allocate returns n addresses on which nobody listens. It never returns the same address
 // twice, and fails once the range is used up.
-func (l *Lane) Free(n int) ([]string, error) {
+func (l *Range) Allocate(n int) ([]string, error) {
 	var out []string
 	for len(out) < n {
 		if l.next == l.end {
@@ -65,7 +65,7 @@
 }
 
 // Close ends the reservation.
-func (l *Lane) Close() error { return l.lock.Close() }
+func (l *Range) Close() error { return l.lock.Close() }
 
 // isFree reports whether nobody listens on addr.
 func isFree(addr string) bool {
--- a/test/port/port_test.go
+++ b/test/port/port_test.go
@@ -18,9 +18,9 @@
 	RunSpecs(t, "port")
 }
 
-func reserve() *Lane {
+func reserve() *Range {
 	GinkgoHelper()
-	l, err := Take()
+	l, err := Reserve()
 	Expect(err).NotTo(HaveOccurred())
 	DeferCleanup(l.Close)
 	return l
@@ -28,11 +28,11 @@
 
 var _ = Describe("a reserved range of ports", func() {
 	It("never returns an address twice, nor one of another range", func() {
-		ranges := []*Lane{reserve(), reserve()}
+		ranges := []*Range{reserve(), reserve()}
 		seen := map[string]bool{}
 		for range 50 {
 			for _, l := range ranges {
-				addrs, err := l.Free(12)
+				addrs, err := l.Allocate(12)
 				Expect(err).NotTo(HaveOccurred())
 				for _, a := range addrs {
 					Expect(seen[a]).To(BeFalse(), a)
@@ -47,13 +47,13 @@
 		listener, err := net.Listen("tcp", address(l.next))
 		Expect(err).NotTo(HaveOccurred())
 		defer listener.Close()
-		addrs, err := l.Free(1)
+		addrs, err := l.Allocate(1)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(addrs).NotTo(ContainElement(listener.Addr().String()))
 	})
 
 	It("fails when it is used up", func() {
-		_, err := reserve().Free(rangeSize)
+		_, err := reserve().Allocate(rangeSize)
 		Expect(err).To(MatchError(ContainSubstring("ports wanted")))
 	})
 
--- a/test/thinlink/thinlink.go
+++ b/test/thinlink/thinlink.go
@@ -53,8 +53,8 @@
 	return l, nil
 }
 
-// Carried returns the number of bytes forwarded, in both directions together.
-func (l *Link) Carried() int64 { return l.forwarded.Load() }
+// ForwardedBytes returns the number of bytes forwarded, in both directions together.
+func (l *Link) ForwardedBytes() int64 { return l.forwarded.Load() }
 
 // Close closes all connections and the Link.
 func (l *Link) Close() {
--- a/test/thinlink/thinlink_test.go
+++ b/test/thinlink/thinlink_test.go
@@ -76,7 +76,7 @@
 		all.Wait()
 		// The data takes 500 ms at the rate, less the initial burst that the limiter allows.
 		Expect(time.Since(begun)).To(BeNumerically(">", 450*time.Millisecond))
-		Expect(l.Carried()).To(Equal(int64(answer * callers)))
+		Expect(l.ForwardedBytes()).To(Equal(int64(answer * callers)))
 	})
 
 	It("closes the connection to the target when the caller closes its own", func() {
@@ -98,7 +98,7 @@
 		Expect(err).NotTo(HaveOccurred())
 		Expect(conn.Close()).To(Succeed())
 		time.Sleep(200 * time.Millisecond)
-		before := l.Carried()
-		Consistently(l.Carried, 300*time.Millisecond).Should(Equal(before))
+		before := l.ForwardedBytes()
+		Consistently(l.ForwardedBytes, 300*time.Millisecond).Should(Equal(before))
 	})
 })
