--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -32,8 +32,8 @@
 
 // Options configures a Pool.
 type Options struct {
-	// MaxIdlePerAddr is the maximum number of idle connections to an address, and MaxPerAddr that of all
-	// connections to it, 0 for no limit.
+	// MaxIdlePerAddr is the maximum number of idle connections to an address, and MaxPerAddr
+	// that of all connections to it, 0 for no limit.
 	MaxIdlePerAddr, MaxPerAddr int
 	// Dial opens a connection.
 	Dial func(ctx context.Context, network, addr string) (net.Conn, error)
@@ -82,8 +82,8 @@
 	return a.transport
 }
 
-// evictUnused removes addresses that have not been used for Options.Unused, as workers come and
-// go. The caller holds p.mu.
+// evictUnused removes addresses that have not been used for Options.IdleTimeout, as workers come
+// and go. The caller holds p.mu.
 func (p *Pool) evictUnused(now time.Time) {
 	if now.Sub(p.lastSweep) < p.options.IdleTimeout {
 		return
--- a/internal/rtt/common_test.go
+++ b/internal/rtt/common_test.go
@@ -11,7 +11,7 @@
 
 // A list of 48 KB took 0.2 s on a link of 2 Mbit/s. The answers of all workers queued behind it,
 // and were considered lost after 0.1 s.
-func TestCommonDelayNeedsSeveralLatePeers(t *testing.T) {
+func TestSharedDelayNeedsSeveralLatePeers(t *testing.T) {
 	g := NewWithT(t)
 	var c SharedDelay
 	now := time.Unix(1000, 0)
--- a/internal/rtt/rtt.go
+++ b/internal/rtt/rtt.go
@@ -41,9 +41,9 @@
 // Timeout returns how long to wait for the next answer, at least minimum and at most maximum.
 // Before the first answer it is twice the minimum, as a connection may have to be set up.
 func (e *Estimate) Timeout(minimum, maximum time.Duration) time.Duration {
-	wait := max(e.mean+deviationFactor*e.deviation, minimum)
+	timeout := max(e.mean+deviationFactor*e.deviation, minimum)
 	if e.mean == 0 {
-		wait = 2 * minimum
+		timeout = 2 * minimum
 	}
-	return min(wait<<e.losses, maximum)
+	return min(timeout<<e.losses, maximum)
 }
--- a/internal/rtt/rtt_test.go
+++ b/internal/rtt/rtt_test.go
@@ -14,7 +14,7 @@
 	maxTimeout = 700 * time.Millisecond
 )
 
-func TestFirstWaitIsTwiceTheMinimum(t *testing.T) {
+func TestFirstTimeoutIsTwiceTheMinimum(t *testing.T) {
 	g := NewWithT(t)
 	var e Estimate
 	g.Expect(e.Timeout(minTimeout, maxTimeout)).To(Equal(2 * minTimeout))
@@ -22,7 +22,7 @@
 	g.Expect(e.Timeout(minTimeout, maxTimeout)).To(Equal(4 * minTimeout))
 }
 
-func TestWaitFollowsAnswerTimes(t *testing.T) {
+func TestTimeoutFollowsAnswerTimes(t *testing.T) {
 	g := NewWithT(t)
 	var e Estimate
 	for range 50 {
@@ -34,10 +34,10 @@
 	}
 	g.Expect(e.Timeout(minTimeout, maxTimeout)).To(BeNumerically("~", 150*time.Millisecond, 10*time.Millisecond))
 	e.Answered(300 * time.Millisecond)
-	g.Expect(e.Timeout(minTimeout, maxTimeout)).To(BeNumerically(">", 300*time.Millisecond), "the wait grows with the variation of the answer times")
+	g.Expect(e.Timeout(minTimeout, maxTimeout)).To(BeNumerically(">", 300*time.Millisecond), "the timeout grows with the variation of the answer times")
 }
 
-func TestWaitDoublesWithEachLossUntilTheNextAnswer(t *testing.T) {
+func TestTimeoutDoublesWithEachLossUntilTheNextAnswer(t *testing.T) {
 	g := NewWithT(t)
 	var e Estimate
 	e.Answered(4 * time.Millisecond)
--- a/internal/stall/stall.go
+++ b/internal/stall/stall.go
@@ -13,7 +13,7 @@
 type Limits struct {
 	// FirstByte bounds the wait for the first byte of the answer, Gap that for each further one.
 	FirstByte, Gap time.Duration
-	// Total bounds the total time of the call, so that a call that receives a few bytes now and
+	// Total bounds the whole time of the call, so that a call that receives a few bytes now and
 	// then ends too.
 	Total time.Duration
 }
--- a/test/port/port.go
+++ b/test/port/port.go
@@ -5,7 +5,7 @@
 // A process binds its port some time after the test chose it, and again after a
 // restart. A port that is merely free at the moment is therefore not enough: the
 // kernel may assign it to an outgoing connection, or to the next test that asks for a
-// free one. The ports here are below the kernel's ephemeral range, and each Lane of
+// free one. The ports here are below the kernel's ephemeral range, and each Range of
 // them belongs to one test process on the machine until it is closed.
 package port
 
