--- a/internal/standin/world/book.go
+++ b/internal/standin/world/book.go
@@ -8,44 +8,47 @@
 	"time"
 )
 
-// Entry is one start in the Book.
+// Entry is the record of one run in the Book.
 type Entry struct {
 	Task   string
 	Run    int
 	Worker string
 	Begun  time.Time
 	Ended  time.Time
-	How    string
-	// Observed says that the worker was told to forget the end.
+	// How is how the run ended: done, failed, stopped, lapsed or lost.
+	How string
+	// Observed is true once an owner has acknowledged the end, so that the worker
+	// may forget it.
 	Observed bool
-	// Lapsed says that the worker's lease lapsed or its life ended before the
-	// end was observed.
+	// Lapsed is true if the worker's lease lapsed or its process ended before the
+	// end was observed: the owner cannot know of the end then.
 	Lapsed bool
 }
 
-// Book holds every start and end on all workers.
+// Book records every start and end on all workers and the violations found in them.
 type Book struct {
 	mu      sync.Mutex
 	entries []*Entry
-	failed  map[string]int
-	found   []string
-	// closed says that a task's job was cancelled, by job.
+	// failed counts the failed runs of each task.
+	failed     map[string]int
+	violations []string
+	// cancelled is not used.
 	cancelled map[string]time.Time
-	// crashes counts the workers that each task has crashed, and afterCrashes its starts
-	// after it had crashed too many.
-	crashes, afterCrashes map[string]int
+	// crashes counts the workers that each task has crashed, startsOverLimit its starts
+	// after it had crashed crashLimit workers.
+	crashes, startsOverLimit map[string]int
 }
 
 func newBook() *Book {
 	return &Book{
 		failed: make(map[string]int), cancelled: make(map[string]time.Time),
-		crashes: make(map[string]int), afterCrashes: make(map[string]int),
+		crashes: make(map[string]int), startsOverLimit: make(map[string]int),
 	}
 }
 
-// started writes a start down. A task must not run twice at a time, nor again
-// after an end that is done.
-func (b *Book) started(w *Worker, o *order) *Entry {
+// recordStart records a start. It is a violation (TWICE) if the task still runs elsewhere
+// or has ended as done before.
+func (b *Book) recordStart(w *Worker, o *order) *Entry {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	e := &Entry{Task: o.Task, Run: o.Run, Worker: w.ID, Begun: time.Now()}
@@ -55,17 +58,17 @@
 		}
 		switch {
 		case old.Ended.IsZero():
-			b.found = append(b.found, fmt.Sprintf("TWICE: %s runs on %s and %s", o.Task, old.Worker, w.ID))
+			b.violations = append(b.violations, fmt.Sprintf("TWICE: %s runs on %s and %s", o.Task, old.Worker, w.ID))
 		case old.How == "done":
-			b.found = append(b.found, fmt.Sprintf("TWICE: %s is started on %s after it was done on %s", o.Task, w.ID, old.Worker))
+			b.violations = append(b.violations, fmt.Sprintf("TWICE: %s is started on %s after it was done on %s", o.Task, w.ID, old.Worker))
 		}
 	}
-	b.startedAfterCrashes(o.Task)
+	b.checkCrashLimit(o.Task)
 	b.entries = append(b.entries, e)
 	return e
 }
 
-func (b *Book) ended(e *Entry, how string) {
+func (b *Book) recordEnd(e *Entry, how string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	e.Ended, e.How = time.Now(), how
@@ -74,15 +77,15 @@
 	}
 }
 
-func (b *Book) observed(e *Entry) {
+func (b *Book) recordObserved(e *Entry) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	e.Observed = true
 }
 
-// lapsed writes down that a worker's lease lapsed. The ends that nobody has taken
-// note of by then need not be known to anybody.
-func (b *Book) lapsed(worker string) {
+// recordLapse records that a worker's lease lapsed. Ends that were not observed by then
+// need not be known to any owner.
+func (b *Book) recordLapse(worker string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, e := range b.entries {
@@ -92,8 +95,8 @@
 	}
 }
 
-// lost writes down that a worker's life is over.
-func (b *Book) lost(worker string) {
+// recordLoss records that a worker's process has ended: its runs end as lost.
+func (b *Book) recordLoss(worker string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, e := range b.entries {
@@ -106,27 +109,29 @@
 	}
 }
 
-// fails reports whether a run of a task that fails a number of times fails now.
-func (b *Book) fails(task string, times int) bool {
+// shouldFail reports whether a task has failed fewer than the given number of times and so
+// has to fail again.
+func (b *Book) shouldFail(task string, times int) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.failed[task] < times
 }
 
-func (b *Book) broke(rule, what string) {
+func (b *Book) addViolation(rule, what string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.found = append(b.found, rule+": "+what)
+	b.violations = append(b.violations, rule+": "+what)
 }
 
-// Broken returns the promises that were broken.
+// Broken returns the violations found so far, each as the name of the rule and what
+// was seen.
 func (b *Book) Broken() []string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return append([]string(nil), b.found...)
+	return append([]string(nil), b.violations...)
 }
 
-// Starts returns every start so far.
+// Starts returns a copy of the records of all runs, in the order of their starts.
 func (b *Book) Starts() []Entry {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/standin/world/crash.go
+++ b/internal/standin/world/crash.go
@@ -12,16 +12,16 @@
 )
 
 const (
-	// crashDown is how long a worker that a task has crashed is away.
-	crashDown = time.Second
-	// entryStays is how long the entry of a worker that has crashed stays in the store.
-	entryStays = 3 * beatEvery
-	// crashesAllowed is how many workers a task may crash before a further start counts, and
-	// startsAllowed how many such starts there may be.
-	crashesAllowed, startsAllowed = 3, 2
+	// crashDowntime is how long a worker is down after a task has crashed it.
+	crashDowntime = time.Second
+	// staleEntryTime is how long the entry of a worker that has crashed stays in the store.
+	staleEntryTime = 3 * heartbeatInterval
+	// A task that has crashed crashLimit workers may be started maxStartsOverLimit more times;
+	// further starts are violations.
+	crashLimit, maxStartsOverLimit = 3, 2
 )
 
-// crashAfter returns how long after its start a task ends its worker's process, if it does.
+// crashAfter returns how long after its start a task crashes its worker, and whether it does.
 func (j *job) crashAfter(task string) (time.Duration, bool) {
 	if !j.Crashes {
 		return 0, false
@@ -31,41 +31,41 @@
 	return j.CrashAfter, err == nil && (j.CrashOnly < 0 || index == j.CrashOnly)
 }
 
-// Rebirth says how a worker comes back after a crash. The zero value is that it stays away.
+// Rebirth says how a worker restarts after a crash. With the zero value it does not restart.
 type Rebirth struct {
-	// Down is how long it is away.
+	// Down is the time from the crash to the restart.
 	Down time.Duration
-	// SameID has it come back under its id, knowing nothing of before; else it is another
-	// worker at the same address.
+	// SameID restarts it under its old id, with no memory of its former runs; otherwise it is a
+	// new worker at the same address.
 	SameID bool
-	// OtherAddr has it come back at another address.
+	// OtherAddr restarts it at another address.
 	OtherAddr bool
-	// Back is by how much its machine's time of day was set back meanwhile.
+	// Back is by how much the wall clock of its machine was set back meanwhile.
 	Back time.Duration
 }
 
-// crashBy has a run that still goes on end its worker's process.
-func (w *Worker) crashBy(r *run) {
+// crashFor crashes the worker on behalf of a run, unless that run has ended.
+func (w *Worker) crashFor(r *run) {
 	w.mu.Lock()
-	there := w.runs[r.task] == r
+	running := w.runs[r.task] == r
 	w.mu.Unlock()
-	if there {
-		w.world.Book.crashed(r.task)
-		w.world.Crash(w, w.world.next())
+	if running {
+		w.world.Book.recordCrash(r.task)
+		w.world.Crash(w, w.world.nextRestart())
 	}
 }
 
-// next returns how the next worker comes back.
-func (w *World) next() Rebirth {
+// nextRestart returns how the worker that crashes now restarts.
+func (w *World) nextRestart() Rebirth {
 	if w.options.Next == nil {
-		return Rebirth{Down: crashDown}
+		return Rebirth{Down: crashDowntime}
 	}
 	return w.options.Next()
 }
 
-// Crash ends a worker's process: connections to it end, others are refused, and its entry
-// stays for a while.
-func (w *World) Crash(n *Worker, after Rebirth) {
+// Crash ends a worker's process: its connections are closed, new ones are refused, and its entry
+// stays in the store for staleEntryTime.
+func (w *World) Crash(n *Worker, restart Rebirth) {
 	n.mu.Lock()
 	if n.dead {
 		n.mu.Unlock()
@@ -75,51 +75,51 @@
 	n.runs, n.ends = make(map[string]*run), nil
 	server := n.server
 	n.mu.Unlock()
-	w.Book.lost(n.ID)
+	w.Book.recordLoss(n.ID)
 	_ = server.Close()
-	time.AfterFunc(entryStays, func() {
-		if w.living(n) == n {
+	time.AfterFunc(staleEntryTime, func() {
+		if w.latestProcess(n) == n {
 			w.Store.Remove("servers", n.ID)
 		}
 	})
-	if after.Down > 0 {
-		time.AfterFunc(after.Down, func() { w.rebirth(n, after) })
+	if restart.Down > 0 {
+		time.AfterFunc(restart.Down, func() { w.restart(n, restart) })
 	}
 }
 
-// rebirth starts another life on the machine of a worker that has crashed.
-func (w *World) rebirth(old *Worker, how Rebirth) {
+// restart starts a new worker process on the machine of a worker that has crashed.
+func (w *World) restart(old *Worker, r Rebirth) {
 	select {
 	case <-w.stop:
 		return
 	default:
 	}
 	w.mu.Lock()
-	n := w.makeWorker(old.Hall, old.slot)
-	n.born -= how.Back.Milliseconds()
-	if how.SameID {
-		n.ID, old.next = old.ID, n
+	n := w.makeWorker(old.Hall, old.machineNumber)
+	n.born -= r.Back.Milliseconds()
+	if r.SameID {
+		n.ID, old.successor = old.ID, n
 	}
 	var err error
-	if how.OtherAddr {
-		err = w.listenAnew(n)
+	if r.OtherAddr {
+		err = w.listenAtNewAddr(n)
 	} else {
-		err = w.listenAt(n, old)
+		err = w.listenAtAddrOf(n, old)
 	}
 	if err == nil {
 		w.Workers = append(w.Workers, n)
 	}
 	w.mu.Unlock()
 	if err != nil {
-		w.Book.broke("STAND-IN", "no new life of "+old.ID+": "+err.Error())
+		w.Book.addViolation("STAND-IN", "cannot restart worker "+old.ID+": "+err.Error())
 		return
 	}
-	w.Machines.replace(old, n)
-	w.beat(n)
+	w.Machines.replaceWorker(old, n)
+	w.heartbeat(n)
 }
 
-// listenAt has a worker serve where another one did. The lock is held.
-func (w *World) listenAt(n, old *Worker) error {
+// listenAtAddrOf has a worker serve at the address of an earlier one. The lock must be held.
+func (w *World) listenAtAddrOf(n, old *Worker) error {
 	l, err := net.Listen("tcp", old.listen)
 	if err != nil {
 		return err
@@ -129,18 +129,18 @@
 	return nil
 }
 
-// living returns the last life under the id of a worker.
-func (w *World) living(n *Worker) *Worker {
+// latestProcess returns the latest process that has the id of a worker.
+func (w *World) latestProcess(n *Worker) *Worker {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for n.next != nil {
-		n = n.next
+	for n.successor != nil {
+		n = n.successor
 	}
 	return n
 }
 
-// lifeOf names the last life under an id: the id alone for the first one.
-func (w *World) lifeOf(id string) string {
+// processName names the latest process with an id: the id alone if there was only one.
+func (w *World) processName(id string) string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	lives := 0
@@ -155,28 +155,29 @@
 	return fmt.Sprintf("%s, life %d", id, lives)
 }
 
-// replace puts a new life of a machine in the place of the one before.
-func (m *Machines) replace(old, n *Worker) {
+// replaceWorker records that a machine now runs n instead of old.
+func (m *Machines) replaceWorker(old, n *Worker) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	for _, one := range m.all {
-		if one.worker == old {
-			one.worker = n
+	for _, mach := range m.all {
+		if mach.worker == old {
+			mach.worker = n
 		}
 	}
 }
 
-// serveOn serves h at a listener until the World is closed. The lock is held, or nothing runs yet.
+// serveOn serves h on a listener until the World is closed. The lock must be held, unless the World
+// is only being started.
 func (w *World) serveOn(l net.Listener, h http.Handler) *http.Server {
 	s := &http.Server{Handler: h, ReadHeaderTimeout: time.Second}
 	w.servers = append(w.servers, s)
-	// Serve ends with the server.
+	// Serve returns once the server is closed.
 	go func() { _ = s.Serve(l) }()
 	return s
 }
 
-// crashed writes down that a task has crashed its worker.
-func (b *Book) crashed(task string) {
+// recordCrash records that a task has crashed its worker.
+func (b *Book) recordCrash(task string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.crashes[task]++
@@ -193,14 +194,15 @@
 	return out
 }
 
-// startedAfterCrashes checks a start against the crashes before it. The lock is held.
-func (b *Book) startedAfterCrashes(task string) {
-	if b.crashes[task] < crashesAllowed {
+// checkCrashLimit records a violation (BUDGET) if a task is started too often after it has
+// crashed crashLimit workers. The lock must be held.
+func (b *Book) checkCrashLimit(task string) {
+	if b.crashes[task] < crashLimit {
 		return
 	}
-	b.afterCrashes[task]++
-	if b.afterCrashes[task] == startsAllowed+1 {
-		b.found = append(b.found, fmt.Sprintf("BUDGET: %s is started %d times after it had crashed %d workers",
-			task, b.afterCrashes[task], crashesAllowed))
+	b.startsOverLimit[task]++
+	if b.startsOverLimit[task] == maxStartsOverLimit+1 {
+		b.violations = append(b.violations, fmt.Sprintf("BUDGET: %s is started %d times after it had crashed %d workers",
+			task, b.startsOverLimit[task], crashLimit))
 	}
 }
--- a/internal/standin/world/crash_test.go
+++ b/internal/standin/world/crash_test.go
@@ -10,9 +10,9 @@
 	. "github.com/onsi/gomega"
 )
 
-// Soak seed 47: the process of the stand-in was not running when a crash was due, and the run ended
-// as done before it.
-func TestRunThatCrashesItsWorkerDoesNotEndAsDoneBeforeOnABusyMachine(t *testing.T) {
+// On a busy machine the timer of the crash can fire late. A run whose length had passed by then used
+// to end as done although its crash was due earlier (soak seed 47).
+func TestRunDoesNotEndAsDoneWhenItsCrashIsDue(t *testing.T) {
 	g := NewWithT(t)
 	w := &World{Book: newBook(), Policy: &Policy{}, stop: make(chan struct{})}
 	w.Policy.world = w
@@ -22,8 +22,8 @@
 	status, _ := n.handle("/dewpass/run-start", o)
 	g.Expect(status).To(Equal(http.StatusOK))
 	r := n.runs[o.Task]
-	r.crashAt = r.begun.Add(150 * time.Millisecond)
-	n.tick(r.begun.Add(100 * time.Millisecond))
-	n.tick(r.begun.Add(310 * time.Millisecond))
+	r.crashAt = r.started.Add(150 * time.Millisecond)
+	n.tick(r.started.Add(100 * time.Millisecond))
+	n.tick(r.started.Add(310 * time.Millisecond))
 	g.Expect(w.Book.Starts()[0].How).NotTo(Equal("done"))
 }
--- a/internal/standin/world/doc.go
+++ b/internal/standin/world/doc.go
@@ -1,11 +1,12 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package world holds small stand-ins of the users' platform: its store of
-// rows, its workers and its policy service, which speak the platform's published
-// protocol over HTTP. None of it is part of the shipped binary.
+// Package world holds test doubles of the users' platform: its store of rows, its
+// workers, its list of machines and its policy service, which speak the platform's
+// published protocol over HTTP. None of it is part of the shipped binary.
 //
-// A World holds one Store, one Policy and any number of Workers, each on an
-// address of its own on loopback, and one Book. Each has switches for its
-// faults. Workers start what they are told; the Book writes down every start and
-// end, and Broken says which promises the entries broke, from that alone.
+// A World has one Store, one Policy, one Machines and any number of Workers, each
+// listening on its own loopback address, and one Book. Faults can be injected into
+// each of them. Workers start whatever they are ordered to start; the Book records
+// every start and end, and reports which guarantees were violated, judged from these
+// records alone and not from what dewpass says.
 package world
--- a/internal/standin/world/machines.go
+++ b/internal/standin/world/machines.go
@@ -13,35 +13,35 @@
 	"time"
 )
 
-// MachineFaults are the switches of Machines.
+// MachineFaults are the faults that can be injected into Machines.
 type MachineFaults struct {
-	// Silent leaves every call without an answer and without effect, Busy turns
-	// every call away.
+	// Silent ignores every call and never responds; Busy refuses every call.
 	Silent, Busy bool
-	// Lose is the share of orders that take effect and get no answer.
+	// Lose is the fraction of upkeep orders that take effect but get no response.
 	Lose float64
 }
 
 const (
-	// upkeepTime is how long a machine is down for its upkeep.
-	upkeepTime = 400 * time.Millisecond
-	// machinesAtOnce is how many machines a page of the list has.
-	machinesAtOnce = 3
+	// upkeepDuration is how long a machine is down for upkeep.
+	upkeepDuration = 400 * time.Millisecond
+	// machinesPerPage is the number of machines on a page of the list.
+	machinesPerPage = 3
 )
 
-// machine is what outlasts the lives of a worker.
+// machine is the state of a machine, which outlives the worker processes that run on it.
 type machine struct {
 	name   string
 	worker *Worker
 	number int
-	// wave is the wave of the last upkeep, and down says that it goes on.
-	wave   int
-	down   bool
+	// wave is the wave of its latest upkeep; down is true while that upkeep goes on.
+	wave int
+	down bool
+	// fence is the highest fencing token seen in an order, holder the lease holder who sent it.
 	fence  uint64
 	holder string
 }
 
-// Machines is the stand-in of the list of machines.
+// Machines is the test double of the platform's list of machines and of their upkeep.
 type Machines struct {
 	world *World
 
@@ -49,11 +49,11 @@
 	all    []*machine
 	faults MachineFaults
 	random *rand.Rand
-	// begun counts the upkeeps.
-	begun int
+	// upkeeps counts the upkeeps that have begun.
+	upkeeps int
 }
 
-// Fail sets the faults.
+// Fail replaces the injected faults.
 func (m *Machines) Fail(f MachineFaults) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -65,8 +65,8 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	var out []string
-	for _, one := range m.all {
-		out = append(out, one.name)
+	for _, mach := range m.all {
+		out = append(out, mach.name)
 	}
 	return out
 }
@@ -75,7 +75,7 @@
 func (m *Machines) Begun() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.begun
+	return m.upkeeps
 }
 
 // add adds the machine of a worker.
@@ -85,7 +85,7 @@
 	m.all = append(m.all, &machine{name: fmt.Sprintf("m-%s-%d", w.Hall, number), worker: w, number: number})
 }
 
-// waveOrder is a wave as operators write it.
+// waveOrder is an upkeep wave as operators write it into the store.
 type waveOrder struct {
 	Wave     int      `json:"wave"`
 	Machines []string `json:"machines"`
@@ -93,14 +93,15 @@
 	MaxItems int      `json:"max_items"`
 }
 
-// Wave asks for the upkeep of machines.
-func (w *World) Wave(number, most int, within time.Duration, machines []string) {
+// Wave writes an upkeep wave into the store: it names the machines, how many of them may be down at a
+// time, and how long the wave may take.
+func (w *World) Wave(number, maxDown int, within time.Duration, machines []string) {
 	w.Store.Put("op", fmt.Sprintf("wave/%d", number), waveOrder{
-		Wave: number, Machines: machines, Duration: int(within.Seconds()), MaxItems: most,
+		Wave: number, Machines: machines, Duration: int(within.Seconds()), MaxItems: maxDown,
 	})
 }
 
-// WaveState returns what was reported of a wave.
+// WaveState returns the state that dewpass has reported of a wave.
 func (w *World) WaveState(number int) string {
 	var s struct{ State string }
 	_ = json.Unmarshal(w.Store.Value("status", "", fmt.Sprintf("wave/%d", number)), &s)
@@ -136,30 +137,32 @@
 	}
 }
 
-// page returns the page of the list that begins at token.
+// page returns the page of the list that begins at a page token.
 func (m *Machines) page(token string) any {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	at, _ := strconv.Atoi(token)
 	rows := []any{}
-	for _, one := range m.all[min(at, len(m.all)):min(at+machinesAtOnce, len(m.all))] {
+	for _, mach := range m.all[min(at, len(m.all)):min(at+machinesPerPage, len(m.all))] {
 		state := "up"
-		if one.down {
+		if mach.down {
 			state = "upkeep"
 		}
 		rows = append(rows, map[string]any{
-			"machine": one.name, "pool": pool, "state": state, "zone": one.worker.Hall,
-			"labels": []string{"a", one.worker.Rack}, "id": one.worker.ID,
+			"machine": mach.name, "pool": pool, "state": state, "zone": mach.worker.Hall,
+			"labels": []string{"a", mach.worker.Rack}, "id": mach.worker.ID,
 		})
 	}
 	next := ""
-	if at+machinesAtOnce < len(m.all) {
-		next = strconv.Itoa(at + machinesAtOnce)
+	if at+machinesPerPage < len(m.all) {
+		next = strconv.Itoa(at + machinesPerPage)
 	}
 	return map[string]any{"machines": rows, "next_page_token": next}
 }
 
-// upkeep begins the upkeep of a machine, and writes down what breaks a rule.
+// upkeep begins the upkeep of a machine and returns the status and the reason of the response. It is
+// a violation if two holders order under one fencing token (ONE), or if more machines are down than
+// the wave allows (LIMIT).
 func (m *Machines) upkeep(r *http.Request) (int, string) {
 	var o struct {
 		Machine string `json:"machine"`
@@ -178,50 +181,50 @@
 	if at < 0 {
 		return http.StatusBadRequest, ""
 	}
-	one := m.all[at]
+	mach := m.all[at]
 	switch {
-	case fence < one.fence:
+	case fence < mach.fence:
 		return http.StatusConflict, "fence"
-	case fence == one.fence && one.holder != holder:
-		m.world.Book.broke("ONE", fmt.Sprintf("%s and %s order %s under fence %d", one.holder, holder, one.name, fence))
+	case fence == mach.fence && mach.holder != holder:
+		m.world.Book.addViolation("ONE", fmt.Sprintf("%s and %s order %s under fence %d", mach.holder, holder, mach.name, fence))
 	}
-	one.fence, one.holder = fence, holder
+	mach.fence, mach.holder = fence, holder
 	switch {
-	case one.wave == o.Wave:
+	case mach.wave == o.Wave:
 		return http.StatusOK, ""
-	case !slices.Contains(wave.Machines, one.name):
+	case !slices.Contains(wave.Machines, mach.name):
 		return http.StatusConflict, "wave"
-	case one.down:
+	case mach.down:
 		return http.StatusConflict, "busy"
-	case m.downFor(o.Wave) >= wave.MaxItems:
-		m.world.Book.broke("LIMIT", fmt.Sprintf("%s is one more than wave %d allows", one.name, o.Wave))
+	case m.countDown(o.Wave) >= wave.MaxItems:
+		m.world.Book.addViolation("LIMIT", fmt.Sprintf("upkeep of %s exceeds the number of machines that wave %d allows", mach.name, o.Wave))
 	}
-	one.wave, one.down = o.Wave, true
-	m.begun++
-	m.world.Kill(one.worker)
-	time.AfterFunc(upkeepTime, func() { m.back(one) })
+	mach.wave, mach.down = o.Wave, true
+	m.upkeeps++
+	m.world.Kill(mach.worker)
+	time.AfterFunc(upkeepDuration, func() { m.endUpkeep(mach) })
 	return http.StatusOK, ""
 }
 
-// downFor counts the machines that are down for a wave. The lock is held.
-func (m *Machines) downFor(wave int) int {
+// countDown counts the machines that are down for a wave. The lock must be held.
+func (m *Machines) countDown(wave int) int {
 	n := 0
-	for _, one := range m.all {
-		if one.wave == wave && one.down {
+	for _, mach := range m.all {
+		if mach.wave == wave && mach.down {
 			n++
 		}
 	}
 	return n
 }
 
-// back ends an upkeep: a new worker comes.
-func (m *Machines) back(one *machine) {
+// endUpkeep ends an upkeep: a new worker starts on the machine.
+func (m *Machines) endUpkeep(mach *machine) {
 	m.mu.Lock()
-	old := one.worker
+	old := mach.worker
 	m.mu.Unlock()
-	w, err := m.world.newWorker(old.Hall, one.number, func(n *Worker) {
+	w, err := m.world.startWorker(old.Hall, mach.number, func(n *Worker) {
 		if m.world.options.Next != nil && m.world.options.Next().SameID {
-			n.ID, old.next = old.ID, n
+			n.ID, old.successor = old.ID, n
 		}
 	})
 	if err != nil {
@@ -229,7 +232,7 @@
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	one.worker, one.down = w, false
+	mach.worker, mach.down = w, false
 }
 
 func newMachines(w *World) *Machines {
--- a/internal/standin/world/room.go
+++ b/internal/standin/world/room.go
@@ -4,25 +4,26 @@
 
 import "time"
 
-// roomCounts is how long after its room has shrunk what a worker is given beyond that counts
-// against its owner: a contact of 3 s and a beat.
-const roomCounts = 3*time.Second + beatEvery
+// capacityGrace is how long after a worker's capacity has shrunk its owner may still plan with the
+// old capacity: 3 s to contact the worker plus one heartbeat.
+const capacityGrace = 3*time.Second + heartbeatInterval
 
-// Resize changes the room of a worker while it runs, which its next entry shows.
+// Resize changes the capacity of a running worker and writes its entry at once.
 func (w *World) Resize(n *Worker, cpu, mem int64) {
 	n.mu.Lock()
-	most := n.most(time.Now())
-	n.hadCPU, n.hadMem = max(most.CPU, cpu), max(most.Mem, mem)
-	n.hadUntil = time.Now().Add(roomCounts)
+	most := n.maxCapacity(time.Now())
+	n.prevCPU, n.prevMem = max(most.CPU, cpu), max(most.Mem, mem)
+	n.prevUntil = time.Now().Add(capacityGrace)
 	n.cpu, n.mem = cpu, mem
 	n.mu.Unlock()
-	w.beat(n)
+	w.heartbeat(n)
 }
 
-// most returns the most that the worker may carry. The lock is held.
-func (w *Worker) most(now time.Time) job {
-	if now.Before(w.hadUntil) {
-		return job{CPU: max(w.cpu, w.hadCPU), Mem: max(w.mem, w.hadMem)}
+// maxCapacity returns what the runs of the worker may use together: for capacityGrace after Resize the
+// larger of the old and the new capacity. The lock must be held.
+func (w *Worker) maxCapacity(now time.Time) job {
+	if now.Before(w.prevUntil) {
+		return job{CPU: max(w.cpu, w.prevCPU), Mem: max(w.mem, w.prevMem)}
 	}
 	return job{CPU: w.cpu, Mem: w.mem}
 }
--- a/internal/standin/world/store.go
+++ b/internal/standin/world/store.go
@@ -15,14 +15,14 @@
 	"time"
 )
 
-// storeRow is a row as the protocol writes it.
+// storeRow is a row as the protocol encodes it.
 type storeRow struct {
-	Table string `json:"table"`
-	Part  string `json:"part"`
-	Key   string `json:"key"`
-	Value []byte `json:"value,omitempty"`
-	Ver   uint64 `json:"ver"`
-	Gone  bool   `json:"gone,omitempty"`
+	Table   string `json:"table"`
+	Part    string `json:"part"`
+	Key     string `json:"key"`
+	Value   []byte `json:"value,omitempty"`
+	Ver     uint64 `json:"ver"`
+	Deleted bool   `json:"gone,omitempty"`
 }
 
 type rowKey struct{ table, part, key string }
@@ -30,10 +30,10 @@
 func (r *storeRow) id() rowKey { return rowKey{r.Table, r.Part, r.Key} }
 
 type storeTx struct {
-	Expect []storeRow `json:"expected_revision"`
-	Put    []storeRow `json:"put"`
-	Remove []storeRow `json:"remove"`
-	Across bool       `json:"across"`
+	Expect    []storeRow `json:"expected_revision"`
+	Put       []storeRow `json:"put"`
+	Remove    []storeRow `json:"remove"`
+	CrossPart bool       `json:"across"`
 }
 
 type storePage struct {
@@ -43,64 +43,66 @@
 	Now  int64      `json:"now_ms"`
 }
 
-// StoreFaults are the switches of a Store.
+// StoreFaults are the faults that can be injected into a Store.
 type StoreFaults struct {
-	// Delay is added to every answer.
+	// Delay is added to the latency of every call.
 	Delay time.Duration
-	// Silent leaves every call without an answer and without effect, Busy turns
-	// every call away.
+	// Silent ignores every call and never responds; Busy refuses every call.
 	Silent, Busy bool
-	// Lose is the share of writes that take effect and get no answer; with Late
-	// they take effect after that time.
+	// Lose is the fraction of writes that take effect but get no response. They take
+	// effect only after Late if it is set.
 	Lose float64
 	Late time.Duration
-	// PartWrites is how many writes a second one part handles, one after another;
-	// 0 is any number. Beyond a second's worth that waits it turns them away.
+	// PartWrites is the number of writes that each part handles per second, one after
+	// another; 0 means no limit. Writes are refused while more than a second's worth
+	// is queued.
 	PartWrites int
-	// Only holds the faults to callers with these addresses, if any are named.
+	// Only restricts the faults to callers with these IP addresses; empty means all.
 	Only []string
 }
 
-// Store is the stand-in of the store.
+// Store is the test double of the platform's store of rows.
 type Store struct {
-	mu     sync.Mutex
-	rows   map[rowKey]storeRow
-	feed   []storeRow
-	first  uint64
-	ver    uint64
-	faults StoreFaults
-	// busy is until when each part has writes to handle.
-	busy   map[string]time.Time
-	random *rand.Rand
-	// Calls counts the calls, by path.
+	mu   sync.Mutex
+	rows map[rowKey]storeRow
+	// feed holds the changes after version feedStart.
+	feed      []storeRow
+	feedStart uint64
+	ver       uint64
+	faults    StoreFaults
+	// busyUntil holds the time at which each part will have handled its queued writes.
+	busyUntil map[string]time.Time
+	random    *rand.Rand
+	// calls counts the calls by path.
 	calls map[string]int
 	begun time.Time
-	moved chan struct{}
+	// changed is closed and replaced at every change.
+	changed chan struct{}
 }
 
 func newStore(seed uint64) *Store {
 	return &Store{
-		rows: make(map[rowKey]storeRow), calls: make(map[string]int), busy: make(map[string]time.Time), begun: time.Now(),
-		random: rand.New(rand.NewPCG(seed, 1)), moved: make(chan struct{}),
+		rows: make(map[rowKey]storeRow), calls: make(map[string]int), busyUntil: make(map[string]time.Time), begun: time.Now(),
+		random: rand.New(rand.NewPCG(seed, 1)), changed: make(chan struct{}),
 	}
 }
 
-// Fail sets the faults.
+// Fail replaces the injected faults.
 func (s *Store) Fail(f StoreFaults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults = f
 }
 
-// ForgetHistory drops what the feed knows.
+// ForgetHistory drops all changes from the feed; readers that ask for older ones get status 410.
 func (s *Store) ForgetHistory() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.feed = nil
-	s.first = s.ver
+	s.feedStart = s.ver
 }
 
-// Put writes a row without conditions, as operators and workers do.
+// Put writes a row unconditionally, as operators and workers do.
 func (s *Store) Put(table, key string, value any) {
 	raw, err := json.Marshal(value)
 	if err != nil {
@@ -118,7 +120,7 @@
 	s.apply(&storeTx{Remove: []storeRow{{Table: table, Key: key}}})
 }
 
-// Count returns how many rows a table has.
+// Count returns the number of rows of a table.
 func (s *Store) Count(table string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -131,37 +133,37 @@
 	return n
 }
 
-// Calls returns how many calls a path has had.
+// Calls returns the number of calls to a path.
 func (s *Store) Calls(path string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.calls[path]
 }
 
-// apply carries out a transaction whose conditions hold. The lock is held.
+// apply carries out a transaction unconditionally. The lock must be held.
 func (s *Store) apply(t *storeTx) {
 	s.ver++
 	for _, r := range t.Put {
-		r.Ver, r.Gone = s.ver, false
+		r.Ver, r.Deleted = s.ver, false
 		s.rows[r.id()] = r
 		s.feed = append(s.feed, r)
 	}
 	for _, r := range t.Remove {
 		delete(s.rows, r.id())
-		s.feed = append(s.feed, storeRow{Table: r.Table, Part: r.Part, Key: r.Key, Ver: s.ver, Gone: true})
+		s.feed = append(s.feed, storeRow{Table: r.Table, Part: r.Part, Key: r.Key, Ver: s.ver, Deleted: true})
 	}
-	close(s.moved)
-	s.moved = make(chan struct{})
+	close(s.changed)
+	s.changed = make(chan struct{})
 }
 
-// holds reports whether the conditions of a transaction hold, and the rows as
-// they stand.
-func (s *Store) holds(t *storeTx) (bool, []storeRow) {
+// checkExpected reports whether the rows have the versions that a transaction expects, and
+// returns these rows as they are now. The lock must be held.
+func (s *Store) checkExpected(t *storeTx) (bool, []storeRow) {
 	ok := true
 	var now []storeRow
 	for _, e := range t.Expect {
-		r, there := s.rows[e.id()]
-		if !there {
+		r, found := s.rows[e.id()]
+		if !found {
 			r = storeRow{Table: e.Table, Part: e.Part, Key: e.Key}
 		}
 		now = append(now, r)
@@ -193,23 +195,23 @@
 	time.Sleep(f.Delay)
 	switch r.URL.Path {
 	case "/dewpass/rows-tx":
-		s.tx(w, r, f)
+		s.handleTx(w, r, f)
 	case "/dewpass/rows-get":
-		s.get(w, r)
+		s.handleGet(w, r)
 	case "/dewpass/rows-feed":
-		s.feedSince(w, r)
+		s.handleFeed(w, r)
 	default:
 		w.WriteHeader(http.StatusNotFound)
 	}
 }
 
-func (s *Store) tx(w http.ResponseWriter, r *http.Request, f StoreFaults) {
+func (s *Store) handleTx(w http.ResponseWriter, r *http.Request, f StoreFaults) {
 	var t storeTx
-	if err := json.NewDecoder(r.Body).Decode(&t); err != nil || !onePart(&t) {
+	if err := json.NewDecoder(r.Body).Decode(&t); err != nil || !validTx(&t) {
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	wait, ok := s.queue(&t, f.PartWrites)
+	wait, ok := s.enqueue(&t, f.PartWrites)
 	if !ok {
 		w.WriteHeader(http.StatusTooManyRequests)
 		return
@@ -219,11 +221,11 @@
 	lose := f.Lose > 0 && s.random.Float64() < f.Lose
 	s.mu.Unlock()
 	if lose && f.Late > 0 {
-		time.AfterFunc(f.Late, func() { s.try(&t) })
+		time.AfterFunc(f.Late, func() { s.applyIfExpected(&t) })
 		<-r.Context().Done()
 		return
 	}
-	status, page := s.try(&t)
+	status, page := s.applyIfExpected(&t)
 	if lose {
 		<-r.Context().Done()
 		return
@@ -231,18 +233,18 @@
 	writeJSON(w, status, page)
 }
 
-// partWaitMost is how much work a part takes on at most.
-const partWaitMost = time.Second
+// maxPartQueue limits the queue of a part, as the time that its queued writes take.
+const maxPartQueue = time.Second
 
-// queue puts a transaction behind the others of its parts, of which each handles
-// perSecond; a transaction across parts takes twice as long. It returns when its
-// turn comes, and false if it is turned away.
-func (s *Store) queue(t *storeTx, perSecond int) (time.Duration, bool) {
+// enqueue adds a transaction to the queues of its parts, each of which handles perSecond
+// writes; a cross-part transaction takes twice as long. It returns the time until the
+// transaction is handled, and false if it is refused because a queue is full.
+func (s *Store) enqueue(t *storeTx, perSecond int) (time.Duration, bool) {
 	if perSecond == 0 {
 		return 0, true
 	}
 	cost := time.Second / time.Duration(perSecond)
-	if t.Across {
+	if t.CrossPart {
 		cost *= 2
 	}
 	s.mu.Lock()
@@ -250,20 +252,20 @@
 	now := time.Now()
 	free := now
 	for _, part := range t.parts() {
-		if s.busy[part].After(free) {
-			free = s.busy[part]
+		if s.busyUntil[part].After(free) {
+			free = s.busyUntil[part]
 		}
 	}
-	if free.Sub(now) > partWaitMost {
+	if free.Sub(now) > maxPartQueue {
 		return 0, false
 	}
 	for _, part := range t.parts() {
-		s.busy[part] = free.Add(cost)
+		s.busyUntil[part] = free.Add(cost)
 	}
 	return free.Add(cost).Sub(now), true
 }
 
-// parts returns the parts of all entries, each once.
+// parts returns the distinct parts of the rows of a transaction.
 func (t *storeTx) parts() []string {
 	var out []string
 	for _, r := range slices.Concat(t.Expect, t.Put, t.Remove) {
@@ -274,11 +276,11 @@
 	return out
 }
 
-// try carries out a transaction if its conditions hold.
-func (s *Store) try(t *storeTx) (int, storePage) {
+// applyIfExpected carries out a transaction if the rows have the expected versions.
+func (s *Store) applyIfExpected(t *storeTx) (int, storePage) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	ok, now := s.holds(t)
+	ok, now := s.checkExpected(t)
 	if !ok {
 		return http.StatusPreconditionFailed, s.page(now)
 	}
@@ -286,12 +288,12 @@
 	return http.StatusOK, s.page(nil)
 }
 
-// onePart reports whether a transaction stays in one part or says that it does
-// not.
-func onePart(t *storeTx) bool {
+// validTx reports whether a transaction is valid: 1 to 100 rows, all in one part unless
+// it is marked as cross-part.
+func validTx(t *storeTx) bool {
 	all := slices.Concat(t.Expect, t.Put, t.Remove)
 	for i := range all {
-		if all[i].Part != all[0].Part && !t.Across {
+		if all[i].Part != all[0].Part && !t.CrossPart {
 			return false
 		}
 	}
@@ -307,7 +309,7 @@
 
 const pageRows = 500
 
-func (s *Store) get(w http.ResponseWriter, r *http.Request) {
+func (s *Store) handleGet(w http.ResponseWriter, r *http.Request) {
 	q := r.URL.Query()
 	limit, _ := strconv.Atoi(q.Get("limit"))
 	if limit <= 0 || limit > pageRows {
@@ -316,8 +318,8 @@
 	writeJSON(w, http.StatusOK, s.list(q, limit))
 }
 
-// list returns the rows that a query asks for, limit at most. The answer is written
-// without the lock, so that one slow reader does not hold up every other caller.
+// list returns the rows that match a query, at most limit of them. The caller writes the
+// response without the lock, so that a slow reader does not block all other callers.
 func (s *Store) list(q url.Values, limit int) storePage {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -334,14 +336,14 @@
 	return page
 }
 
-func (s *Store) feedSince(w http.ResponseWriter, r *http.Request) {
+func (s *Store) handleFeed(w http.ResponseWriter, r *http.Request) {
 	q := r.URL.Query()
 	since, _ := strconv.ParseUint(q.Get("depends_on"), 10, 64)
 	wait, _ := strconv.Atoi(q.Get("wait_ms"))
 	end := time.After(time.Duration(wait) * time.Millisecond)
 	for {
 		s.mu.Lock()
-		if since < s.first {
+		if since < s.feedStart {
 			s.mu.Unlock()
 			w.WriteHeader(http.StatusGone)
 			return
@@ -352,7 +354,7 @@
 				found = append(found, row)
 			}
 		}
-		page, moved := s.page(found), s.moved
+		page, moved := s.page(found), s.changed
 		s.mu.Unlock()
 		if len(found) > 0 || wait == 0 {
 			writeJSON(w, http.StatusOK, page)
@@ -371,7 +373,7 @@
 func writeJSON(w http.ResponseWriter, status int, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	// The caller may be gone; there is nobody else to tell.
+	// An error means that the caller has gone; there is nobody else to report it to.
 	_ = json.NewEncoder(w).Encode(v)
 }
 
--- a/internal/standin/world/worker.go
+++ b/internal/standin/world/worker.go
@@ -13,46 +13,51 @@
 	"time"
 )
 
-// WorkerFaults are the switches of a Worker.
+// WorkerFaults are the faults that can be injected into a Worker.
 type WorkerFaults struct {
-	// Silent leaves every call without an answer and without effect: the worker
-	// is cut off and runs on.
+	// Silent ignores every call and never responds, as if the worker were partitioned
+	// from its callers; its runs go on.
 	Silent bool
-	// Lose is the share of orders that take effect and get no answer; with Late
-	// they take effect after that time.
+	// Lose is the fraction of orders that take effect but get no response. They take
+	// effect only after Late if it is set.
 	Lose float64
 	Late time.Duration
-	// Outlives has a late order reach whoever lives under the worker's id by then.
+	// Outlives delivers a late order to whichever process has the worker's id by then.
 	Outlives bool
-	// FailAll fails every run, Hang lets none make progress.
+	// FailAll fails every run; Hang stops the progress of all runs.
 	FailAll, Hang bool
 }
 
-// run is a run on a Worker.
+// run is a run of a task on a Worker.
 type run struct {
-	task     string
-	n        int
-	spec     job
-	begun    time.Time
-	worked   time.Duration
+	task string
+	// number is the number of the run among those of its task.
+	number  int
+	spec    job
+	started time.Time
+	// progress is how far the run is, counted from the beginning of its task.
+	progress time.Duration
 	lastTick time.Time
-	saved    string
-	cpu, mem int64
-	// crashAt is when it ends its worker's process, zero if it does not.
+	// checkpoint is the saved progress in milliseconds.
+	checkpoint string
+	cpu, mem   int64
+	// crashAt is when the run crashes its worker, zero if it does not.
 	crashAt time.Time
 	entry   *Entry
 }
 
+// end is the end of a run, which the worker reports until an owner has acknowledged it. number
+// counts the ends of the worker; run is the number of the run.
 type end struct {
-	number int
-	task   string
-	n      int
-	how    string
-	saved  string
-	entry  *Entry
+	number     int
+	task       string
+	run        int
+	outcome    string
+	checkpoint string
+	entry      *Entry
 }
 
-// Worker is the stand-in of a worker.
+// Worker is the test double of a worker: one process, which a crash or an upkeep ends.
 type Worker struct {
 	ID   string
 	Addr string
@@ -61,41 +66,46 @@
 
 	world    *World
 	cpu, mem int64
-	// hadCPU and hadMem are what it had before its room shrank, which counts until hadUntil.
-	hadCPU, hadMem int64
-	hadUntil       time.Time
-	// slot is the number of its machine in its hall, listen where it listens and server what
-	// serves it there.
-	slot   int
-	listen string
-	server *http.Server
-	// born is what it says of its own start.
+	// prevCPU and prevMem are the capacity before it shrank, which counts until prevUntil.
+	prevCPU, prevMem int64
+	prevUntil        time.Time
+	// machineNumber is the number of its machine in its hall, listen the address of its listener (Addr
+	// may be that of a proxy) and server its HTTP server.
+	machineNumber int
+	listen        string
+	server        *http.Server
+	// born is the start time that it reports, in Unix milliseconds.
 	born int64
-	// next is the life after this one under the same id. World.mu guards it.
-	next *Worker
+	// successor is the following process with the same id. World.mu guards it.
+	successor *Worker
 
-	mu       sync.Mutex
-	fence    uint64
-	runs     map[string]*run
-	ends     []end
-	number   int
-	observed int
-	// told is the number of the last end that each owner was told of, by the owners' epochs.
-	told map[uint64]int
-	// last holds the highest run of each task that stopped or ended here.
-	last  map[string]int
-	until time.Time
-	// lapsed says that the lease that ended at until was noted as lapsed.
-	lapsed   bool
-	begun    time.Time
-	faults   WorkerFaults
-	random   *rand.Rand
+	mu sync.Mutex
+	// fence is the highest fencing token seen in an order.
+	fence uint64
+	runs  map[string]*run
+	// ends holds the ends that no owner has acknowledged yet, lastEnd the number of the latest end,
+	// observedEnd that of the latest acknowledged one.
+	ends        []end
+	lastEnd     int
+	observedEnd int
+	// reportedEnd holds the number of the latest end that was reported to each owner, by the owner's epoch.
+	reportedEnd map[uint64]int
+	// highestRun holds the highest run of each task that was stopped or ended here.
+	highestRun map[string]int
+	// leaseUntil is when the lease ends.
+	leaseUntil time.Time
+	// lapseRecorded is true once the end of the lease at leaseUntil is in the Book.
+	lapseRecorded bool
+	started       time.Time
+	faults        WorkerFaults
+	random        *rand.Rand
+	// changed is closed and replaced when a run ends.
 	changed  chan struct{}
 	dead     bool
 	draining bool
 }
 
-// Fail sets the faults of a worker that lives.
+// Fail replaces the injected faults, unless the worker is dead.
 func (w *Worker) Fail(f WorkerFaults) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -104,33 +114,36 @@
 	}
 }
 
-func (w *Worker) clock() int64 { return 1000 + time.Since(w.begun).Milliseconds() }
+// clock returns the worker's own clock in milliseconds; it starts at 1000.
+func (w *Worker) clock() int64 { return 1000 + time.Since(w.started).Milliseconds() }
 
+// order is the body of any request to a worker.
 type order struct {
-	Task     string `json:"task"`
-	Run      int    `json:"run"`
-	Spec     string `json:"spec"`
-	Deadline int64  `json:"deadline_ms"`
-	Fence    uint64 `json:"fencing_token"`
-	Saved    string `json:"checkpoint"`
-	Ticket   string `json:"ticket"`
-	Observed int    `json:"observed"`
-	Wait     int64  `json:"wait_ms"`
+	Task       string `json:"task"`
+	Run        int    `json:"run"`
+	Spec       string `json:"spec"`
+	Deadline   int64  `json:"deadline_ms"`
+	Fence      uint64 `json:"fencing_token"`
+	Checkpoint string `json:"checkpoint"`
+	Ticket     string `json:"ticket"`
+	Observed   int    `json:"observed"`
+	Wait       int64  `json:"wait_ms"`
 }
 
+// workerAnswer is the body of any response of a worker.
 type workerAnswer struct {
 	Clock    int64   `json:"clock_ms"`
 	Born     int64   `json:"born,omitempty"`
 	Reason   string  `json:"reason,omitempty"`
 	Running  [][]any `json:"running,omitempty"`
 	Finished [][]any `json:"finished,omitempty"`
-	// lost says that the answer is not given.
-	lost bool
+	// dropped is true if the response is never sent.
+	dropped bool
 }
 
 // ServeHTTP implements http.Handler.
 func (w *Worker) ServeHTTP(out http.ResponseWriter, r *http.Request) {
-	if life := r.Header.Get("Dewpass-Expect-Instance"); life != "" && life != w.ID {
+	if expected := r.Header.Get("Dewpass-Expect-Instance"); expected != "" && expected != w.ID {
 		out.WriteHeader(http.StatusMisdirectedRequest)
 		return
 	}
@@ -149,11 +162,11 @@
 		return
 	case lose && f.Late > 0:
 		time.AfterFunc(f.Late, func() {
-			late := w
+			target := w
 			if f.Outlives {
-				late = w.world.living(w)
+				target = w.world.latestProcess(w)
 			}
-			late.handle(r.URL.Path, &o)
+			target.handle(r.URL.Path, &o)
 		})
 		<-r.Context().Done()
 		return
@@ -163,43 +176,43 @@
 		<-r.Context().Done()
 		return
 	}
-	if r.URL.Path == "/dewpass/hold" && status == http.StatusOK && !a.lost && len(a.Finished) == 0 && o.Wait > 0 {
-		w.wait(r, time.Duration(o.Wait)*time.Millisecond)
+	if r.URL.Path == "/dewpass/hold" && status == http.StatusOK && !a.dropped && len(a.Finished) == 0 && o.Wait > 0 {
+		w.awaitEnd(r, time.Duration(o.Wait)*time.Millisecond)
 		status, a = w.handle(r.URL.Path, &o)
 	}
-	if a.lost {
+	if a.dropped {
 		<-r.Context().Done()
 		return
 	}
-	w.tell(&o, &a)
+	w.noteReported(&o, &a)
 	writeJSON(out, status, a)
 }
 
-// ownerOf returns the epoch of the owner that has given a fence.
+// ownerOf returns the epoch of the owner that issued a fencing token.
 func ownerOf(fence uint64) uint64 { return fence / fencesPerOwner }
 
-// fencesPerOwner is how many fences an owner has: those of the next one are all above them.
+// fencesPerOwner is the number of fencing tokens of an owner; those of the next owner are higher.
 const fencesPerOwner = 1 << 20
 
-// tell notes which ends the sender of an order is told of by the answer.
-func (w *Worker) tell(o *order, a *workerAnswer) {
+// noteReported notes the ends that a response reports to the sender of an order.
+func (w *Worker) noteReported(o *order, a *workerAnswer) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, row := range a.Finished {
 		if number, ok := row[0].(int); ok {
-			w.told[ownerOf(o.Fence)] = max(w.told[ownerOf(o.Fence)], number)
+			w.reportedEnd[ownerOf(o.Fence)] = max(w.reportedEnd[ownerOf(o.Fence)], number)
 		}
 	}
 }
 
-// wait waits for an end.
-func (w *Worker) wait(r *http.Request, most time.Duration) {
+// awaitEnd waits until a run ends or the given time has passed.
+func (w *Worker) awaitEnd(r *http.Request, timeout time.Duration) {
 	w.mu.Lock()
 	changed := w.changed
 	w.mu.Unlock()
 	select {
 	case <-changed:
-	case <-time.After(most):
+	case <-time.After(timeout):
 	case <-r.Context().Done():
 	}
 }
@@ -209,8 +222,8 @@
 	defer w.mu.Unlock()
 	a := workerAnswer{Clock: w.clock()}
 	if w.dead {
-		// What had arrived before its process ended is never carried out.
-		a.lost = true
+		// Orders that arrived before the process ended are never carried out.
+		a.dropped = true
 		return http.StatusOK, a
 	}
 	if o.Fence < w.fence {
@@ -219,7 +232,7 @@
 	}
 	w.fence = o.Fence
 	if o.Deadline > 0 {
-		w.lease(o.Deadline)
+		w.extendLease(o.Deadline)
 	}
 	switch path {
 	case "/dewpass/run-start":
@@ -232,21 +245,22 @@
 	case "/dewpass/hold":
 		w.observe(o.Observed, ownerOf(o.Fence))
 		a.Born = w.born
-		w.list(&a)
+		w.addRuns(&a)
 		return http.StatusOK, a
 	}
 	return http.StatusNotFound, a
 }
 
-const leaseMost = 10 * time.Second
+const maxLease = 10 * time.Second
 
-func (w *Worker) lease(deadline int64) {
-	until := w.begun.Add(time.Duration(deadline-1000) * time.Millisecond)
-	if most := time.Now().Add(leaseMost); until.After(most) {
+// extendLease extends the lease to a deadline on the worker's clock, but to at most maxLease from now.
+func (w *Worker) extendLease(deadline int64) {
+	until := w.started.Add(time.Duration(deadline-1000) * time.Millisecond)
+	if most := time.Now().Add(maxLease); until.After(most) {
 		until = most
 	}
-	if until.After(w.until) {
-		w.until, w.lapsed = until, false
+	if until.After(w.leaseUntil) {
+		w.leaseUntil, w.lapseRecorded = until, false
 	}
 }
 
@@ -255,113 +269,115 @@
 		a.Reason = reason
 		return http.StatusConflict, a
 	}
-	if r := w.runs[o.Task]; r != nil && r.n == o.Run {
+	if r := w.runs[o.Task]; r != nil && r.number == o.Run {
 		return http.StatusOK, a
 	}
 	switch {
-	case o.Run <= w.last[o.Task] || w.runs[o.Task] != nil:
+	case o.Run <= w.highestRun[o.Task] || w.runs[o.Task] != nil:
 		return refuse("old")
-	case w.begun.Add(time.Duration(o.Deadline-1000) * time.Millisecond).Before(time.Now()):
+	case w.started.Add(time.Duration(o.Deadline-1000) * time.Millisecond).Before(time.Now()):
 		return refuse("late")
-	case w.world.Policy.on() && !w.world.Policy.holds(o.Ticket, w):
+	case w.world.Policy.enabled() && !w.world.Policy.ticketValid(o.Ticket, w):
 		return refuse("ticket")
 	}
 	spec := parseSpec(o.Spec)
 	r := &run{
-		task: o.Task, n: o.Run, spec: spec, begun: time.Now(), lastTick: time.Now(), saved: o.Saved,
+		task: o.Task, number: o.Run, spec: spec, started: time.Now(), lastTick: time.Now(), checkpoint: o.Checkpoint,
 		cpu: spec.CPU, mem: spec.Mem,
 	}
-	if ms, err := strconv.Atoi(o.Saved); err == nil {
-		r.worked = time.Duration(ms) * time.Millisecond
+	if ms, err := strconv.Atoi(o.Checkpoint); err == nil {
+		r.progress = time.Duration(ms) * time.Millisecond
 	}
-	r.entry = w.world.Book.started(w, o)
+	r.entry = w.world.Book.recordStart(w, o)
 	w.runs[o.Task] = r
-	w.checkRoom()
+	w.checkCapacity()
 	if after, crashes := spec.crashAfter(o.Task); crashes {
-		r.crashAt = r.begun.Add(after)
-		time.AfterFunc(after, func() { w.crashBy(r) })
-		// With no delay the process is gone before the answer to the order.
-		a.lost = after == 0
+		r.crashAt = r.started.Add(after)
+		time.AfterFunc(after, func() { w.crashFor(r) })
+		// Without a delay the process ends before it responds to the order.
+		a.dropped = after == 0
 	}
 	return http.StatusOK, a
 }
 
-// checkRoom writes it down if the worker was given more than it has.
-func (w *Worker) checkRoom() {
+// checkCapacity records a violation (LIMIT) if the runs together exceed the worker's capacity.
+func (w *Worker) checkCapacity() {
 	var cpu, mem int64
 	for _, r := range w.runs {
 		cpu += r.cpu
 		mem += r.mem
 	}
-	if most := w.most(time.Now()); cpu > most.CPU || mem > most.Mem {
-		w.world.Book.broke("LIMIT", w.ID+" has been given more than it has")
+	if most := w.maxCapacity(time.Now()); cpu > most.CPU || mem > most.Mem {
+		w.world.Book.addViolation("LIMIT", w.ID+" was given more than its capacity")
 	}
 }
 
 func (w *Worker) stop(o *order) {
-	w.last[o.Task] = max(w.last[o.Task], o.Run)
-	if r := w.runs[o.Task]; r != nil && r.n == o.Run {
+	w.highestRun[o.Task] = max(w.highestRun[o.Task], o.Run)
+	if r := w.runs[o.Task]; r != nil && r.number == o.Run {
 		w.finish(r, "stopped")
 	}
 }
 
-// observe forgets the ends up to n on the word of an owner, which must have been told of them.
+// observe forgets the ends up to n, which an owner has acknowledged. It is a violation (OBSERVED) if
+// one of them was never reported to that owner.
 func (w *Worker) observe(n int, owner uint64) {
-	if n <= w.observed {
+	if n <= w.observedEnd {
 		return
 	}
-	w.observed = n
+	w.observedEnd = n
 	kept := w.ends[:0]
 	for _, e := range w.ends {
 		if e.number > n {
 			kept = append(kept, e)
 			continue
 		}
-		if e.number > w.told[owner] {
-			w.world.Book.broke("OBSERVED", fmt.Sprintf("%s is to forget end %d, of %s, by owner %d, which was told up to %d",
-				w.ID, e.number, e.task, owner, w.told[owner]))
+		if e.number > w.reportedEnd[owner] {
+			w.world.Book.addViolation("OBSERVED", fmt.Sprintf("%s is to forget end %d, of %s, by owner %d, which was told up to %d",
+				w.ID, e.number, e.task, owner, w.reportedEnd[owner]))
 		}
-		w.world.Book.observed(e.entry)
+		w.world.Book.recordObserved(e.entry)
 	}
 	w.ends = kept
 }
 
-func (w *Worker) list(a *workerAnswer) {
+func (w *Worker) addRuns(a *workerAnswer) {
 	for _, r := range w.runs {
 		percent := 100
 		if !r.spec.Lasts && r.spec.Length > 0 {
-			percent = int(min(100*r.worked/r.spec.Length, 99))
+			percent = int(min(100*r.progress/r.spec.Length, 99))
 		}
-		a.Running = append(a.Running, []any{r.task, r.n, r.saved, percent, r.cpu})
+		a.Running = append(a.Running, []any{r.task, r.number, r.checkpoint, percent, r.cpu})
 	}
 	for _, e := range w.ends {
-		a.Finished = append(a.Finished, []any{e.number, e.task, e.n, e.how, e.saved})
+		a.Finished = append(a.Finished, []any{e.number, e.task, e.run, e.outcome, e.checkpoint})
 	}
 }
 
-// finish ends a run. The lock is held.
+// finish ends a run. The lock must be held.
 func (w *Worker) finish(r *run, how string) {
 	delete(w.runs, r.task)
-	w.last[r.task] = max(w.last[r.task], r.n)
-	w.number++
+	w.highestRun[r.task] = max(w.highestRun[r.task], r.number)
+	w.lastEnd++
 	saved := ""
 	if how != "done" {
-		saved = r.saved
+		saved = r.checkpoint
 	}
-	w.ends = append(w.ends, end{number: w.number, task: r.task, n: r.n, how: how, saved: saved, entry: r.entry})
-	w.world.Book.ended(r.entry, how)
+	w.ends = append(w.ends, end{number: w.lastEnd, task: r.task, run: r.number, outcome: how, checkpoint: saved, entry: r.entry})
+	w.world.Book.recordEnd(r.entry, how)
 	close(w.changed)
 	w.changed = make(chan struct{})
 }
 
-// tick lets time pass.
+// tick advances the runs to a time: it ends those that are over, or all of them once the lease has
+// lapsed.
 func (w *Worker) tick(now time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	lapsed := !w.until.IsZero() && now.After(w.until)
-	if lapsed && !w.lapsed {
-		w.lapsed = true
-		w.world.Book.lapsed(w.ID)
+	lapsed := !w.leaseUntil.IsZero() && now.After(w.leaseUntil)
+	if lapsed && !w.lapseRecorded {
+		w.lapseRecorded = true
+		w.world.Book.recordLapse(w.ID)
 	}
 	for _, r := range w.runs {
 		if lapsed {
@@ -369,16 +385,16 @@
 			continue
 		}
 		if !w.faults.Hang {
-			r.worked += now.Sub(r.lastTick)
+			r.progress += now.Sub(r.lastTick)
 		}
 		r.lastTick = now
 		if r.spec.Saves {
-			r.saved = strconv.FormatInt(r.worked.Milliseconds(), 10)
+			r.checkpoint = strconv.FormatInt(r.progress.Milliseconds(), 10)
 		}
-		if r.spec.Lasts || r.worked < r.spec.Length || r.crashes(now) {
+		if r.spec.Lasts || r.progress < r.spec.Length || r.crashDue(now) {
 			continue
 		}
-		if w.faults.FailAll || w.world.Book.fails(r.task, r.spec.Fails) {
+		if w.faults.FailAll || w.world.Book.shouldFail(r.task, r.spec.Fails) {
 			w.finish(r, "failed")
 		} else {
 			w.finish(r, "done")
@@ -386,19 +402,19 @@
 	}
 }
 
-// crashes reports whether a run has ended its worker's process by now: a machine that was busy may
-// bring the crash later than the end.
-func (r *run) crashes(now time.Time) bool { return !r.crashAt.IsZero() && !now.Before(r.crashAt) }
+// crashDue reports whether the crash of a run is due: on a busy machine the timer of the crash may
+// fire only after the run's length has passed.
+func (r *run) crashDue(now time.Time) bool { return !r.crashAt.IsZero() && !now.Before(r.crashAt) }
 
-// job is what the text of a job says of its tasks: "ms=300 cpu=1000 mem=100
-// fails=1 saves lasts crashes=10 only=2".
+// job is how the tasks of a job behave, parsed from the text of the job: "ms=300 cpu=1000
+// mem=100 fails=1 saves lasts crashes=10 only=2".
 type job struct {
 	Length       time.Duration
 	CPU, Mem     int64
 	Fails        int
 	Saves, Lasts bool
-	// Crashes says that a task ends its worker's process CrashAfter its start; of a step it
-	// is the one with index CrashOnly alone, where that is not negative.
+	// Crashes makes a task crash its worker CrashAfter its start. If CrashOnly is not negative,
+	// only the task of a step with this index does so.
 	Crashes    bool
 	CrashAfter time.Duration
 	CrashOnly  int
--- a/internal/standin/world/world.go
+++ b/internal/standin/world/world.go
@@ -15,28 +15,28 @@
 	"time"
 )
 
-// Options says how a World begins.
+// Options configures a World.
 type Options struct {
 	Halls    []string
 	PerHall  int
 	CPU, Mem int64
 	Seed     uint64
-	// Host is the loopback address that everything listens on.
+	// Host is the loopback address on which everything listens.
 	Host string
-	// WorkerAddr returns an address at which a worker is to listen, also when it comes back;
-	// nil lets the system choose, which may give the port away while the worker is down.
+	// WorkerAddr returns the address on which a worker listens, also after a restart. If it is nil,
+	// the system chooses a port, which it may give to another process while the worker is down.
 	WorkerAddr func() (string, error)
-	// Advice lets a policy choose: one worker of three may run a step.
+	// Advice has the policy service decide which workers may run a step: two of three.
 	Advice bool
-	// Next says how a worker comes back whose process a task has ended, or whose machine has
-	// had its upkeep; nil is as another worker.
+	// Next says how a worker restarts after a task has crashed it, and after an upkeep of its
+	// machine; if it is nil, a new worker takes its place.
 	Next func() Rebirth
-	// Via returns the address by which others reach what listens at one, if it is
-	// set.
+	// Via, if set, returns the address at which others reach a listener, such as that of a
+	// proxy.
 	Via func(addr string) (string, error)
 }
 
-// World is the users' platform in small.
+// World is a test double of the users' platform.
 type World struct {
 	Store   *Store
 	Policy  *Policy
@@ -59,16 +59,16 @@
 }
 
 const (
-	tickEvery = 10 * time.Millisecond
-	beatEvery = 500 * time.Millisecond
-	pool      = "pool"
-	rackSize  = 2
+	tickInterval      = 10 * time.Millisecond
+	heartbeatInterval = 500 * time.Millisecond
+	pool              = "pool"
+	rackSize          = 2
 )
 
 // Start starts a World.
 func Start(o Options) (*World, error) {
 	w := &World{Store: newStore(o.Seed), Book: newBook(), options: o, stop: make(chan struct{})}
-	w.Policy = &Policy{wanted: o.Advice, world: w}
+	w.Policy = &Policy{advice: o.Advice, world: w}
 	var err error
 	if w.StoreAddr, err = w.serve(w.Store); err != nil {
 		return nil, err
@@ -87,7 +87,7 @@
 			}
 		}
 	}
-	w.wg.Go(w.run)
+	w.wg.Go(w.tickLoop)
 	return w, nil
 }
 
@@ -105,29 +105,30 @@
 
 // AddWorker starts a worker in a hall, on a new machine.
 func (w *World) AddWorker(hall string, number int) (*Worker, error) {
-	n, err := w.newWorker(hall, number, func(*Worker) {})
+	n, err := w.startWorker(hall, number, func(*Worker) {})
 	if err == nil {
 		w.Machines.add(n, number)
 	}
 	return n, err
 }
 
-// newWorker starts a worker in a hall, as which life is said before it serves.
-func (w *World) newWorker(hall string, number int, as func(*Worker)) (*Worker, error) {
+// startWorker starts a worker in a hall. prepare may change the worker, such as its id, before it
+// serves.
+func (w *World) startWorker(hall string, number int, prepare func(*Worker)) (*Worker, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	n := w.makeWorker(hall, number)
-	as(n)
-	if err := w.listenAnew(n); err != nil {
+	prepare(n)
+	if err := w.listenAtNewAddr(n); err != nil {
 		return nil, err
 	}
 	w.Workers = append(w.Workers, n)
-	w.beat(n)
+	w.heartbeat(n)
 	return n, nil
 }
 
-// listenAnew has a worker serve at an address of its own. The lock is held.
-func (w *World) listenAnew(n *Worker) error {
+// listenAtNewAddr has a worker serve at a new address. The lock must be held.
+func (w *World) listenAtNewAddr(n *Worker) error {
 	addr, err := net.JoinHostPort(w.options.Host, "0"), error(nil)
 	if w.options.WorkerAddr != nil {
 		addr, err = w.options.WorkerAddr()
@@ -148,19 +149,19 @@
 	return err
 }
 
-// makeWorker makes a worker that serves nothing yet. The lock is held.
+// makeWorker returns a worker that does not serve yet. The lock must be held.
 func (w *World) makeWorker(hall string, number int) *Worker {
 	return &Worker{
 		ID: fmt.Sprintf("i-%s-%d-%d", hall, number, len(w.Workers)), Hall: hall,
 		Rack: fmt.Sprintf("%s-r%d", hall, number/rackSize), world: w,
-		slot: number, cpu: w.options.CPU, mem: w.options.Mem, begun: time.Now(), born: time.Now().UnixMilli(),
-		runs: make(map[string]*run), last: make(map[string]int), told: make(map[uint64]int),
+		machineNumber: number, cpu: w.options.CPU, mem: w.options.Mem, started: time.Now(), born: time.Now().UnixMilli(),
+		runs: make(map[string]*run), highestRun: make(map[string]int), reportedEnd: make(map[uint64]int),
 		random: rand.New(rand.NewPCG(w.options.Seed, uint64(len(w.Workers)))), changed: make(chan struct{}),
 	}
 }
 
-// Kill ends a worker's life: everything that runs there is gone, and nobody
-// answers.
+// Kill ends a worker for good: its runs are lost, it never responds again, and its
+// entry is removed.
 func (w *World) Kill(n *Worker) {
 	n.mu.Lock()
 	n.dead = true
@@ -168,56 +169,56 @@
 	n.runs = make(map[string]*run)
 	n.ends = nil
 	n.mu.Unlock()
-	w.Book.lost(n.ID)
+	w.Book.recordLoss(n.ID)
 	w.Store.Remove("servers", n.ID)
 }
 
-// Drain lets a worker say that it leaves.
+// Drain has a worker announce in its entry that it is draining.
 func (w *World) Drain(n *Worker) {
 	n.mu.Lock()
 	n.draining = true
 	n.mu.Unlock()
-	w.beat(n)
+	w.heartbeat(n)
 }
 
-// run lets time pass until Close.
-func (w *World) run() {
+// tickLoop advances the workers and writes their heartbeats until Close.
+func (w *World) tickLoop() {
 	beat := time.Now()
 	for {
 		select {
 		case <-w.stop:
 			return
-		case now := <-time.After(tickEvery):
-			for _, n := range w.all() {
+		case now := <-time.After(tickInterval):
+			for _, n := range w.allWorkers() {
 				n.tick(now)
 			}
-			if now.Sub(beat) > beatEvery {
+			if now.Sub(beat) > heartbeatInterval {
 				beat = now
-				for _, n := range w.all() {
-					w.beat(n)
+				for _, n := range w.allWorkers() {
+					w.heartbeat(n)
 				}
 			}
 		}
 	}
 }
 
-func (w *World) all() []*Worker {
+func (w *World) allWorkers() []*Worker {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return slices.Clone(w.Workers)
 }
 
-// Living returns the workers that live and don't leave.
+// Living returns the workers that are neither dead nor draining.
 func (w *World) Living() []*Worker {
-	return slices.DeleteFunc(w.all(), func(n *Worker) bool {
+	return slices.DeleteFunc(w.allWorkers(), func(n *Worker) bool {
 		n.mu.Lock()
 		defer n.mu.Unlock()
 		return n.dead || n.draining
 	})
 }
 
-// beat writes a worker's entry.
-func (w *World) beat(n *Worker) {
+// heartbeat writes a worker's entry into the store, unless it is dead.
+func (w *World) heartbeat(n *Worker) {
 	n.mu.Lock()
 	dead, state, remaining := n.dead, "ready", 0
 	if n.draining {
@@ -235,7 +236,7 @@
 	})
 }
 
-// Route is a queue of the operators' configuration and where its clients reach it.
+// Route is a queue of the operators' configuration and the path prefix at which clients reach it.
 type Route struct {
 	Name, Prefix string
 }
@@ -244,14 +245,14 @@
 type Account struct {
 	Name string
 	Keys []string
-	// CPU is what it may have running, in thousandths of a processor.
+	// CPU is the limit of what it may have running, in millicores.
 	CPU int64
-	// Weight is its share in jobs a second.
+	// Weight is its share, in jobs per second.
 	Weight float64
 }
 
-// SetAccounts sets the client accounts that the next configurations hold; before, none needs a
-// key.
+// SetAccounts sets the client accounts of the configurations that are written from now on. Without
+// accounts no client needs a key.
 func (w *World) SetAccounts(accounts ...Account) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -264,12 +265,12 @@
 	}
 }
 
-// Configure writes the operators' configuration: one queue, at host and prefix.
+// Configure writes the operators' configuration with one queue, at host and prefix.
 func (w *World) Configure(version int, host, prefix string) {
 	w.ConfigureRoutes(version, host, []Route{{Name: "queue", Prefix: prefix}})
 }
 
-// ConfigureRoutes writes the operators' configuration: a queue for each route, all
+// ConfigureRoutes writes the operators' configuration with a queue for each route, all
 // at one host.
 func (w *World) ConfigureRoutes(version int, host string, routes []Route) {
 	list := make([]any, len(routes))
@@ -289,7 +290,7 @@
 	w.Store.Put("op", "config", doc)
 }
 
-// route returns a route as the operators write it.
+// route returns a route in the form of the operators' configuration.
 func (w *World) route(host string, r Route) map[string]any {
 	route := map[string]any{
 		"name": r.Name, "host": host, "path_prefix": r.Prefix, "type": "unsafe", "timeout_ms": 3000,
@@ -301,7 +302,7 @@
 	return route
 }
 
-// Close ends the World.
+// Close stops the World and all its servers.
 func (w *World) Close() {
 	close(w.stop)
 	w.wg.Wait()
@@ -312,31 +313,32 @@
 	}
 }
 
-// Policy is the stand-in of the policy service.
+// Policy is the test double of the policy service, which decides which workers may run a step.
 type Policy struct {
-	wanted bool
-	world  *World
-	mu     sync.Mutex
-	asked  int
+	advice   bool
+	world    *World
+	mu       sync.Mutex
+	requests int
 }
 
-func (p *Policy) on() bool { return p.wanted }
+func (p *Policy) enabled() bool { return p.advice }
 
-// Asked returns how many questions there were.
+// Asked returns the number of requests so far.
 func (p *Policy) Asked() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.asked
+	return p.requests
 }
 
 const ticketLife = 2500 * time.Millisecond
 
-// holds reports whether a ticket lets this life of a worker run.
-func (p *Policy) holds(ticket string, w *Worker) bool {
+// ticketValid reports whether a ticket is valid for a worker: issued for its id, not before its
+// process started, and not expired.
+func (p *Policy) ticketValid(ticket string, w *Worker) bool {
 	id, at, ok := strings.Cut(ticket, "@")
 	ms, err := strconv.ParseInt(at, 10, 64)
 	given := time.UnixMilli(ms)
-	return ok && err == nil && id == w.ID && time.Since(given) < ticketLife && !given.Before(w.begun.Truncate(time.Millisecond))
+	return ok && err == nil && id == w.ID && time.Since(given) < ticketLife && !given.Before(w.started.Truncate(time.Millisecond))
 }
 
 // ServeHTTP implements http.Handler.
@@ -351,19 +353,19 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.asked++
+	p.requests++
 	time.Sleep(10*time.Millisecond + time.Duration(len(in.Workers))*time.Millisecond)
 	healthy := [][]string{}
 	for _, id := range in.Workers {
-		if fits(in.Step, p.world.lifeOf(id)) {
+		if mayRun(in.Step, p.world.processName(id)) {
 			healthy = append(healthy, []string{id, id + "@" + strconv.FormatInt(time.Now().UnixMilli(), 10)})
 		}
 	}
 	writeJSON(w, http.StatusOK, map[string]any{"healthy": healthy, "valid_ms": ticketLife.Milliseconds()})
 }
 
-// fits draws which lives of workers may run a step: two of three, always the same.
-func fits(step, worker string) bool {
+// mayRun reports whether a worker may run a step: a hash of both, true for two of three.
+func mayRun(step, worker string) bool {
 	sum := 0
 	for _, c := range step + worker {
 		sum = sum*31 + int(c)
