--- a/internal/standin/balancer.go
+++ b/internal/standin/balancer.go
@@ -10,35 +10,35 @@
 	"time"
 )
 
-// Balancer is the stand-in of the platform's balancer. It passes each
-// connection on to the next entry instance that takes it.
+// Balancer is the test double of the platform's load balancer: a TCP proxy that
+// forwards each connection to the next entry instance that accepts it.
 type Balancer struct {
 	mu      sync.Mutex
 	targets []string
 	next    atomic.Uint64
 }
 
-const balancerDial = 500 * time.Millisecond
+const balancerDialTimeout = 500 * time.Millisecond
 
-// Set says which addresses connections are passed on to.
+// Set replaces the addresses to which connections are forwarded.
 func (b *Balancer) Set(targets []string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.targets = targets
 }
 
-// Serve passes on connections until l is closed.
+// Serve forwards connections until l is closed.
 func (b *Balancer) Serve(l net.Listener) error {
 	for {
 		c, err := l.Accept()
 		if err != nil {
 			return err
 		}
-		go b.pass(c)
+		go b.forward(c)
 	}
 }
 
-func (b *Balancer) pass(c net.Conn) {
+func (b *Balancer) forward(c net.Conn) {
 	defer c.Close()
 	up := b.dial()
 	if up == nil {
@@ -58,7 +58,7 @@
 	b.mu.Unlock()
 	for range targets {
 		addr := targets[int(b.next.Add(1))%len(targets)]
-		if c, err := net.DialTimeout("tcp", addr, balancerDial); err == nil {
+		if c, err := net.DialTimeout("tcp", addr, balancerDialTimeout); err == nil {
 			return c
 		}
 	}
--- a/internal/standin/faults.go
+++ b/internal/standin/faults.go
@@ -15,80 +15,83 @@
 	"dewpass.org/ports"
 )
 
-// Faults are the switches of one stand-in.
+// Faults are the faults that can be injected into one test double.
 type Faults struct {
 	// Down drops every request without an answer.
 	Down bool `json:"down"`
-	// DelayMS holds every request back, in milliseconds.
+	// DelayMS delays every request, in milliseconds.
 	DelayMS int64 `json:"delay_ms"`
-	// PerSecond refuses requests over this rate; 0 refuses none.
+	// PerSecond is the rate above which requests are refused; 0 means no limit.
 	PerSecond float64 `json:"per_second"`
-	// LoseEvery drops the answer of every so many requests after they took
+	// LoseEvery = n drops the response of every n-th request after it took
 	// effect; 0 drops none.
 	LoseEvery int `json:"lose_every"`
-	// CutEvery cuts every so many answers short; 0 cuts none.
+	// CutEvery = n truncates the answer in every n-th response; 0 truncates none.
 	CutEvery int `json:"cut_every"`
-	// CrossEvery gives every so many starts the answer of another; 0 none.
+	// CrossEvery = n puts the id of another task into the answer of every n-th
+	// response; 0 changes none.
 	CrossEvery int `json:"cross_every"`
-	// ClockRate is the speed of a worker's clock; 0 and 1 are the machine's.
+	// ClockRate is the speed of a worker's clock relative to that of the
+	// machine; 0 is the same as 1.
 	ClockRate float64 `json:"clock_rate"`
 }
 
-// switches guards the Faults of one stand-in.
-type switches struct {
+// faultInjector holds the Faults of one test double and decides which requests
+// they affect.
+type faultInjector struct {
 	mu      sync.Mutex
-	now     Faults
+	faults  Faults
 	limiter *rate.Limiter
 	count   int
 }
 
-func (s *switches) set(f Faults) {
+func (s *faultInjector) set(f Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.now = f
+	s.faults = f
 	s.limiter = nil
 	if f.PerSecond > 0 {
 		s.limiter = rate.NewLimiter(rate.Limit(f.PerSecond), max(1, int(f.PerSecond/10)))
 	}
 }
 
-// lasting returns how long a length on this stand-in's clock takes on the
-// machine's.
-func (s *switches) lasting(length time.Duration) time.Duration {
+// onMachineClock converts a duration on this test double's clock to one on the
+// clock of the machine.
+func (s *faultInjector) onMachineClock(length time.Duration) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.now.ClockRate == 0 {
+	if s.faults.ClockRate == 0 {
 		return length
 	}
-	return time.Duration(float64(length) / s.now.ClockRate)
+	return time.Duration(float64(length) / s.faults.ClockRate)
 }
 
-// plan is what befalls one request.
-type plan struct {
+// faultPlan holds the faults of one request.
+type faultPlan struct {
 	down, limited, lose, cut, cross bool
 	delay                           time.Duration
 }
 
-func (s *switches) next() plan {
+func (s *faultInjector) nextPlan() faultPlan {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.count++
-	return plan{
-		down:    s.now.Down,
+	return faultPlan{
+		down:    s.faults.Down,
 		limited: s.limiter != nil && !s.limiter.Allow(),
-		lose:    every(s.count, s.now.LoseEvery),
-		cut:     every(s.count, s.now.CutEvery),
-		cross:   every(s.count, s.now.CrossEvery),
-		delay:   time.Duration(s.now.DelayMS) * time.Millisecond,
+		lose:    isNth(s.count, s.faults.LoseEvery),
+		cut:     isNth(s.count, s.faults.CutEvery),
+		cross:   isNth(s.count, s.faults.CrossEvery),
+		delay:   time.Duration(s.faults.DelayMS) * time.Millisecond,
 	}
 }
 
-func every(count, n int) bool { return n > 0 && count%n == 0 }
+func isNth(count, n int) bool { return n > 0 && count%n == 0 }
 
-// wrap lets the faults befall the requests to h.
-func (s *switches) wrap(h http.Handler) http.Handler {
+// wrap applies the faults to the requests to h.
+func (s *faultInjector) wrap(h http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		p := s.next()
+		p := s.nextPlan()
 		time.Sleep(p.delay)
 		switch {
 		case p.down:
@@ -96,7 +99,7 @@
 		case p.limited:
 			refuse(w, kind.New(kind.RateLimited, "over the rate"))
 		case p.lose:
-			h.ServeHTTP(&sink{header: http.Header{}}, r)
+			h.ServeHTTP(&discardWriter{header: http.Header{}}, r)
 			abort()
 		default:
 			h.ServeHTTP(w, r)
@@ -104,17 +107,17 @@
 	})
 }
 
-// abort ends the request without an answer.
+// abort closes the connection without a response.
 func abort() { panic(http.ErrAbortHandler) }
 
-// sink takes an answer that nobody gets.
-type sink struct{ header http.Header }
+// discardWriter is a http.ResponseWriter that discards the response.
+type discardWriter struct{ header http.Header }
 
-func (s *sink) Header() http.Header         { return s.header }
-func (s *sink) Write(b []byte) (int, error) { return len(b), nil }
-func (s *sink) WriteHeader(int)             {}
+func (s *discardWriter) Header() http.Header         { return s.header }
+func (s *discardWriter) Write(b []byte) (int, error) { return len(b), nil }
+func (s *discardWriter) WriteHeader(int)             {}
 
-func (s *switches) handler(w http.ResponseWriter, r *http.Request) {
+func (s *faultInjector) faultsHandler(w http.ResponseWriter, r *http.Request) {
 	var f Faults
 	if !readJSON(w, r, &f) {
 		return
--- a/internal/standin/local.go
+++ b/internal/standin/local.go
@@ -10,23 +10,25 @@
 	"dewpass.org/ports"
 )
 
-// Local is a Table without the network, for focused tests: it implements
-// ports.Table, and Before and After bring failures about at each commit.
+// Local is an in-process Table for unit tests: it implements ports.Table, and
+// hooks inject failures into commits and reads.
 type Local struct {
 	*Table
 	mu sync.Mutex
-	// Before may refuse a commit before it takes effect.
+	// Before is called before each commit; with an error the commit fails
+	// without effect.
 	Before func(ports.Txn) error
-	// After may lose the answer of a commit that took effect.
+	// After is called after each commit took effect; with an error the caller
+	// gets that error in place of the result.
 	After func(ports.Txn) error
-	// Reading may refuse reads.
+	// Reading is called before each read; with an error the read fails.
 	Reading func() error
 }
 
 // NewLocal returns an empty table.
 func NewLocal() *Local { return &Local{Table: NewTable()} }
 
-// Set changes the failures while the table is in use.
+// Set changes the hooks while the table is in use.
 func (l *Local) Set(f func(*Local)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -39,7 +41,8 @@
 	return l.Before, l.After, l.Reading
 }
 
-func (l *Local) read(ctx context.Context) error {
+// readError returns the error with which a read has to fail, if any.
+func (l *Local) readError(ctx context.Context) error {
 	if err := ctx.Err(); err != nil {
 		return kind.Wrap(kind.Unavailable, err, "read")
 	}
@@ -51,7 +54,7 @@
 
 // Get implements ports.Table.
 func (l *Local) Get(ctx context.Context, keys ...string) ([]ports.Row, error) {
-	if err := l.read(ctx); err != nil {
+	if err := l.readError(ctx); err != nil {
 		return nil, err
 	}
 	return l.Table.Get(keys...), nil
@@ -59,7 +62,7 @@
 
 // Scan implements ports.Table.
 func (l *Local) Scan(ctx context.Context, prefix, after string, limit int) ([]ports.Row, error) {
-	if err := l.read(ctx); err != nil {
+	if err := l.readError(ctx); err != nil {
 		return nil, err
 	}
 	return l.Table.Scan(prefix, after, limit), nil
--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -18,9 +18,9 @@
 	"dewpass.org/ports"
 )
 
-// Objects is the stand-in of the object store.
+// Objects is the test double of the object store.
 type Objects struct {
-	switches
+	faultInjector
 	dataMu sync.Mutex
 	data   map[string][]byte
 }
@@ -87,20 +87,21 @@
 	_, _ = w.Write(body)
 }
 
-// List is the stand-in of the list of instances.
+// List is the test double of the platform's list of instances. Readers see a
+// change only after the lag.
 type List struct {
-	switches
-	listMu sync.Mutex
-	lag    time.Duration
-	shown  []ports.Instance
-	actual []ports.Instance
-	// version counts the changes that are shown.
+	faultInjector
+	listMu  sync.Mutex
+	lag     time.Duration
+	visible []ports.Instance
+	actual  []ports.Instance
+	// version counts the changes of visible.
 	version int
 }
 
 // Put adds or replaces an instance.
 func (l *List) Put(in ports.Instance) {
-	l.change(func(list []ports.Instance) []ports.Instance {
+	l.update(func(list []ports.Instance) []ports.Instance {
 		list = slices.DeleteFunc(list, func(o ports.Instance) bool { return o.ID == in.ID })
 		return append(list, in)
 	})
@@ -108,25 +109,25 @@
 
 // Delete removes an instance.
 func (l *List) Delete(id string) {
-	l.change(func(list []ports.Instance) []ports.Instance {
+	l.update(func(list []ports.Instance) []ports.Instance {
 		return slices.DeleteFunc(list, func(o ports.Instance) bool { return o.ID == id })
 	})
 }
 
-// SetLag says how late the list shows changes.
+// SetLag sets the delay after which readers see a change.
 func (l *List) SetLag(d time.Duration) {
 	l.listMu.Lock()
 	defer l.listMu.Unlock()
 	l.lag = d
 }
 
-func (l *List) change(f func([]ports.Instance) []ports.Instance) {
+func (l *List) update(f func([]ports.Instance) []ports.Instance) {
 	l.listMu.Lock()
 	defer l.listMu.Unlock()
 	l.actual = f(slices.Clone(l.actual))
 	snapshot := l.actual
 	show := func() {
-		l.shown = snapshot
+		l.visible = snapshot
 		l.version++
 	}
 	if l.lag == 0 {
@@ -143,7 +144,7 @@
 func (l *List) getHandler(w http.ResponseWriter, r *http.Request) {
 	q := r.URL.Query()
 	l.listMu.Lock()
-	shown, version := l.shown, strconv.Itoa(l.version)
+	shown, version := l.visible, strconv.Itoa(l.version)
 	l.listMu.Unlock()
 	out := ports.Listing{Version: version, Unchanged: q.Get("since") == version}
 	if out.Unchanged {
@@ -169,7 +170,7 @@
 	l.Delete(mux.Vars(r)["id"])
 }
 
-// Platform is the whole stand-in platform.
+// Platform combines the test doubles of the platform.
 type Platform struct {
 	Table   *Table
 	Objects *Objects
@@ -189,14 +190,15 @@
 	}
 }
 
-// AddWorker makes a worker known to the list and to the switches.
+// AddWorker puts a worker into the list of instances and makes it reachable for
+// the handlers of faults and events.
 func (p *Platform) AddWorker(w *Worker) {
 	p.workers[w.id] = w
 	p.List.Put(w.instance())
 }
 
-// Handler serves the platform's protocol, the switches under /faults, and the
-// record under /record.
+// Handler serves the platform's protocol, and for tests the injected faults
+// under /faults, events of workers under /worker and the record under /record.
 func (p *Platform) Handler() http.Handler {
 	r := mux.NewRouter().UseEncodedPath()
 	table := func(h http.HandlerFunc) http.Handler { return p.Table.wrap(h) }
@@ -207,9 +209,9 @@
 	r.Handle("/instances", p.List.wrap(http.HandlerFunc(p.List.getHandler))).Methods(http.MethodGet)
 	r.HandleFunc("/instances", p.List.putHandler).Methods(http.MethodPut)
 	r.HandleFunc("/instances/{id}", p.List.deleteHandler).Methods(http.MethodDelete)
-	r.HandleFunc("/faults/table", p.Table.switches.handler)
-	r.HandleFunc("/faults/objects", p.Objects.switches.handler)
-	r.HandleFunc("/faults/instances", p.List.switches.handler)
+	r.HandleFunc("/faults/table", p.Table.faultInjector.faultsHandler)
+	r.HandleFunc("/faults/objects", p.Objects.faultInjector.faultsHandler)
+	r.HandleFunc("/faults/instances", p.List.faultInjector.faultsHandler)
 	r.HandleFunc("/faults/worker/{id}", p.workerFaults)
 	r.HandleFunc("/worker/{id}/{what:crash|restart|leave|return}", p.workerEvent)
 	r.HandleFunc("/record", p.Record.summaryHandler)
@@ -221,12 +223,12 @@
 	return r
 }
 
-// rowsHandler reads the table past its faults, for those who judge.
+// rowsHandler reads the table without its faults, for the checks of tests.
 func (p *Platform) rowsHandler(w http.ResponseWriter, r *http.Request) {
 	writeJSON(w, p.Table.Scan(r.URL.Query().Get("prefix"), "", 0))
 }
 
-func (p *Platform) worker(w http.ResponseWriter, r *http.Request) *Worker {
+func (p *Platform) lookupWorker(w http.ResponseWriter, r *http.Request) *Worker {
 	id := mux.Vars(r)["id"]
 	worker := p.workers[id]
 	if worker == nil {
@@ -236,13 +238,13 @@
 }
 
 func (p *Platform) workerFaults(w http.ResponseWriter, r *http.Request) {
-	if worker := p.worker(w, r); worker != nil {
-		worker.switches.handler(w, r)
+	if worker := p.lookupWorker(w, r); worker != nil {
+		worker.faultInjector.faultsHandler(w, r)
 	}
 }
 
 func (p *Platform) workerEvent(w http.ResponseWriter, r *http.Request) {
-	worker := p.worker(w, r)
+	worker := p.lookupWorker(w, r)
 	if worker == nil {
 		return
 	}
--- a/internal/standin/record.go
+++ b/internal/standin/record.go
@@ -12,7 +12,7 @@
 	"dewpass.org/sched"
 )
 
-// Event is one line of the workers' own book.
+// Event is one entry of the Record.
 type Event struct {
 	At      time.Time `json:"at"`
 	Worker  string    `json:"worker"`
@@ -22,52 +22,55 @@
 	Tag     string    `json:"tag,omitempty"`
 }
 
-// Summary is what the record says of the promises.
+// Summary counts the events of the Record and lists the violations in them.
 type Summary struct {
 	Starts   int `json:"starts"`
 	Finishes int `json:"finishes"`
-	// Over lists moments at which a worker was given more than it had.
+	// Over lists the starts and resumptions that took a worker beyond its
+	// capacity.
 	Over []string `json:"over"`
-	// Doubled lists tasks that ran in two places at once.
+	// Doubled lists tasks that ran on two workers at once.
 	Doubled []string `json:"doubled"`
-	// Repeated lists work that must start at most once and started again.
+	// Repeated lists requests that must run at most once and started again.
 	Repeated []string `json:"repeated"`
-	// AfterLeaving lists starts at a worker that had been leaving for more
-	// than three seconds.
+	// AfterLeaving lists starts on a worker that had been leaving for longer
+	// than leavingGrace.
 	AfterLeaving []string `json:"after_leaving"`
-	// Cut lists calls that were ended before they were done.
+	// Cut lists calls that ended before they were finished.
 	Cut []string `json:"cut"`
-	// PeakShare is the largest share of the scarcest resource in use at once.
+	// PeakShare is the largest share of the scarcest resource in use.
 	PeakShare float64 `json:"peak_share"`
 	// MeanShare is its average over time since the first start.
 	MeanShare float64 `json:"mean_share"`
 }
 
-// OK reports whether no promise was broken.
+// OK reports whether there is no violation. A call that was cut is none.
 func (s *Summary) OK() bool {
 	return len(s.Over)+len(s.Doubled)+len(s.Repeated)+len(s.AfterLeaving) == 0
 }
 
-// leavingGrace is how long after its notice a leaving worker may still get
-// work.
+// leavingGrace is how long tasks may still start on a worker after it has
+// announced that it is leaving.
 const leavingGrace = 3 * time.Second
 
 const maxEvents = 200000
 
-// Record is the workers' common book.
+// Record holds the events of all workers.
 type Record struct {
 	mu      sync.Mutex
 	events  []Event
 	summary Summary
-	// running holds where each task runs, by its id.
+	// running holds the worker on which each task runs, by the id of the task.
 	running map[string]string
 	// tags counts starts by the caller's own tag.
 	tags     map[string]int
 	capacity sched.Vec
 	used     sched.Vec
-	area     float64
-	first    time.Time
-	last     time.Time
+	// shareSeconds is the integral of the used share over the seconds from firstUse to
+	// lastUse.
+	shareSeconds float64
+	firstUse     time.Time
+	lastUse      time.Time
 }
 
 func (r *Record) addCapacity(v sched.Vec) {
@@ -76,13 +79,13 @@
 	r.capacity = r.capacity.Add(v)
 }
 
-// start writes down a start. tag is the caller's own name for the request.
+// start records a start. tag is the caller's own name for the request.
 func (r *Record) start(worker string, t *ports.Task, tag string, over bool, leavingSince time.Time) {
 	now := time.Now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.init()
-	r.note(Event{At: now, Worker: worker, What: "start", ID: t.ID, Attempt: t.Attempt, Tag: tag})
+	r.addEvent(Event{At: now, Worker: worker, What: "start", ID: t.ID, Attempt: t.Attempt, Tag: tag})
 	r.summary.Starts++
 	line := fmt.Sprintf("%s#%d at %s", t.ID, t.Attempt, worker)
 	if over {
@@ -96,9 +99,10 @@
 	if !leavingSince.IsZero() && now.Sub(leavingSince) > leavingGrace {
 		r.summary.AfterLeaving = append(r.summary.AfterLeaving, line)
 	}
-	r.use(now, t.Demand)
+	r.addUse(now, t.Demand)
 }
 
+// countTag counts a start of a request and records a violation if it must not run twice.
 func (r *Record) countTag(t *ports.Task, tag, line string) {
 	if tag == "" {
 		return
@@ -109,13 +113,13 @@
 	}
 }
 
-// end writes down that a task no longer runs.
+// end records that a task no longer runs and no longer holds its resources.
 func (r *Record) end(worker, what string, t *ports.Task, held sched.Vec) {
 	now := time.Now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.init()
-	r.note(Event{At: now, Worker: worker, What: what, ID: t.ID, Attempt: t.Attempt})
+	r.addEvent(Event{At: now, Worker: worker, What: what, ID: t.ID, Attempt: t.Attempt})
 	if what == string(ports.TaskFinished) {
 		r.summary.Finishes++
 	} else if t.Call {
@@ -124,14 +128,14 @@
 	if r.running[t.ID] == worker {
 		delete(r.running, t.ID)
 	}
-	r.use(now, sched.Vec{}.Sub(held))
+	r.addUse(now, sched.Vec{}.Sub(held))
 }
 
-// adjust writes down that a running task holds more or less than before.
+// adjust records that a running task holds more or fewer resources than before.
 func (r *Record) adjust(delta sched.Vec) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.use(time.Now(), delta)
+	r.addUse(time.Now(), delta)
 }
 
 func (r *Record) init() {
@@ -141,31 +145,32 @@
 	}
 }
 
-func (r *Record) note(e Event) {
+func (r *Record) addEvent(e Event) {
 	if len(r.events) < maxEvents {
 		r.events = append(r.events, e)
 	}
 }
 
-func (r *Record) use(now time.Time, delta sched.Vec) {
+// addUse integrates the used share up to now and then changes the used resources.
+func (r *Record) addUse(now time.Time, delta sched.Vec) {
 	share := r.used.Share(r.capacity)
-	if r.first.IsZero() {
-		r.first = now
+	if r.firstUse.IsZero() {
+		r.firstUse = now
 	} else {
-		r.area += share * now.Sub(r.last).Seconds()
+		r.shareSeconds += share * now.Sub(r.lastUse).Seconds()
 	}
-	r.last = now
+	r.lastUse = now
 	r.used = r.used.Add(delta)
 	r.summary.PeakShare = max(r.summary.PeakShare, r.used.Share(r.capacity))
 }
 
-// Summary returns what the record says so far.
+// Summary returns the summary of all events so far.
 func (r *Record) Summary() Summary {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	s := r.summary
-	if d := r.last.Sub(r.first).Seconds(); d > 0 {
-		s.MeanShare = r.area / d
+	if d := r.lastUse.Sub(r.firstUse).Seconds(); d > 0 {
+		s.MeanShare = r.shareSeconds / d
 	}
 	return s
 }
@@ -191,8 +196,8 @@
 	writeJSON(w, events)
 }
 
-// over writes down that a resumed task took a worker past what it has.
-func (r *Record) over(worker string, t *ports.Task) {
+// resumedBeyondCapacity records that a resumed task took a worker beyond its capacity.
+func (r *Record) resumedBeyondCapacity(worker string, t *ports.Task) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.summary.Over = append(r.summary.Over, fmt.Sprintf("%s#%d resumed at %s", t.ID, t.Attempt, worker))
--- a/internal/standin/table.go
+++ b/internal/standin/table.go
@@ -12,9 +12,9 @@
 	"dewpass.org/ports"
 )
 
-// Table is the stand-in of the platform's table.
+// Table is the test double of the platform's table.
 type Table struct {
-	switches
+	faultInjector
 	rowsMu  sync.Mutex
 	rows    map[string]ports.Row
 	version uint64
@@ -26,7 +26,7 @@
 	return &Table{rows: make(map[string]ports.Row)}
 }
 
-// Get returns the rows with the given keys.
+// Get returns the rows with the given keys; an absent row has version 0.
 func (t *Table) Get(keys ...string) []ports.Row {
 	t.rowsMu.Lock()
 	defer t.rowsMu.Unlock()
@@ -44,7 +44,8 @@
 	return ports.Row{Key: key}
 }
 
-// Scan returns the rows with a prefix in order.
+// Scan returns the rows whose keys have a prefix and are above after, in the order
+// of their keys; at most limit of them unless limit is 0.
 func (t *Table) Scan(prefix, after string, limit int) []ports.Row {
 	t.rowsMu.Lock()
 	defer t.rowsMu.Unlock()
@@ -61,7 +62,7 @@
 	return out
 }
 
-// Commit carries out a transaction.
+// Commit carries out a transaction, or returns the rows whose checks failed.
 func (t *Table) Commit(x ports.Txn) ports.Commit {
 	t.rowsMu.Lock()
 	defer t.rowsMu.Unlock()
@@ -87,7 +88,7 @@
 	return out
 }
 
-// Commits returns the number of transactions so far.
+// Commits returns the number of transactions that were carried out.
 func (t *Table) Commits() uint64 {
 	t.rowsMu.Lock()
 	defer t.rowsMu.Unlock()
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -15,15 +15,15 @@
 	"dewpass.org/sched"
 )
 
-// controlShare is the part of a task lease, as one in this many, that the
-// owner's sole control lasts.
-const controlShare = 2
+// controlDivisor divides the task lease: for that part of it, no other owner may
+// attach without a newer table epoch.
+const controlDivisor = 2
 
-// throttledShare is the part of its processors that a throttled task keeps, as
-// one in this many.
-const throttledShare = 4
+// throttleDivisor divides the processors of a task to give what it keeps while it
+// is throttled.
+const throttleDivisor = 4
 
-// Payload is what the stand-in worker understands of a task's payload.
+// Payload is the payload of a task, which tells the worker how the task behaves.
 type Payload struct {
 	// MS is how long the task runs.
 	MS int64 `json:"ms"`
@@ -33,19 +33,19 @@
 	Service bool `json:"service"`
 	// Fail makes the task fail.
 	Fail bool `json:"fail"`
-	// Bytes is the size of filler in the answer.
+	// Bytes is the size of the filler in the answer.
 	Bytes int `json:"bytes"`
-	// SaveMS makes the task save a checkpoint so often; 0 is never.
+	// SaveMS is the interval at which the task saves a checkpoint; 0 means never.
 	SaveMS int64 `json:"save_ms"`
 }
 
-// Body is the answer of the stand-in worker.
+// Body is the answer of a task.
 type Body struct {
 	Task string `json:"task"`
 	Shop string `json:"shop"`
 	// Sum is the digest of the payload.
 	Sum string `json:"sum"`
-	// Filler makes the answer as large as the payload asks for.
+	// Filler brings the answer to the size that the payload asks for.
 	Filler string `json:"filler,omitempty"`
 }
 
@@ -57,30 +57,31 @@
 	return strings.Repeat(id, n/len(id)+1)[:n]
 }
 
-// forever is longer than any test.
-const forever = 24 * time.Hour
+// serviceLength is the length of a task that runs until it is stopped; no test lasts
+// as long.
+const serviceLength = 24 * time.Hour
 
 type run struct {
-	task    ports.Task
-	payload Payload
-	state   ports.TaskState
-	given   sched.Vec
-	answer  *ports.Answer
-	saved   string
-	seq     uint64
-	timer   *time.Timer
-	saver   *time.Timer
-	began   time.Time
-	ran     time.Duration
-	// answered says that the end of a call goes out on the connection that
-	// started it, so that a watch need not tell of it.
-	answered bool
-	done     chan struct{}
-}
-
-// Worker is the stand-in of one worker.
+	task       ports.Task
+	payload    Payload
+	state      ports.TaskState
+	held       sched.Vec
+	answer     *ports.Answer
+	checkpoint string
+	seq        uint64
+	timer      *time.Timer
+	saveTimer  *time.Timer
+	started    time.Time
+	ran        time.Duration
+	// endInResponse is true if the end of a call is reported in the response to its
+	// start or join, so that a watch need not report it.
+	endInResponse bool
+	done          chan struct{}
+}
+
+// Worker is the test double of a worker.
 type Worker struct {
-	switches
+	faultInjector
 	id, hall, rack string
 	addr           string
 	capacity       sched.Vec
@@ -99,11 +100,11 @@
 	seq          uint64
 	changed      chan struct{}
 	tasks        map[string]*run
-	given        sched.Vec
+	inUse        sched.Vec
 }
 
-// NewWorker returns a worker that writes its book into p and is listed there
-// once p.AddWorker was called.
+// NewWorker returns a worker that records its events in p. It is listed there
+// only after p.AddWorker.
 func NewWorker(p *Platform, id, hall, rack, addr string, capacity sched.Vec) *Worker {
 	p.Record.addCapacity(capacity)
 	return &Worker{
@@ -126,8 +127,7 @@
 	}
 }
 
-// Crash ends the worker and all that it runs. It answers nothing until
-// Restart.
+// Crash ends the worker and all its tasks. It does not respond until Restart.
 func (w *Worker) Crash() {
 	w.stateMu.Lock()
 	defer w.stateMu.Unlock()
@@ -138,7 +138,8 @@
 	}
 }
 
-// Restart brings the worker back under the same name, with nothing running.
+// Restart restarts the worker under the same id as a new incarnation, without
+// tasks.
 func (w *Worker) Restart() {
 	w.Crash()
 	w.stateMu.Lock()
@@ -151,7 +152,7 @@
 	w.leaseUntil = time.Time{}
 }
 
-// Leave says whether the worker is leaving.
+// Leave sets whether the worker is leaving.
 func (w *Worker) Leave(leaving bool) {
 	w.stateMu.Lock()
 	defer w.stateMu.Unlock()
@@ -160,21 +161,21 @@
 	if leaving {
 		w.leavingSince = time.Now()
 	}
-	w.touch()
+	w.notifyWatches()
 }
 
-// touch wakes those who watch.
-func (w *Worker) touch() uint64 {
+// notifyWatches counts a change and wakes all watches. The lock must be held.
+func (w *Worker) notifyWatches() uint64 {
 	w.seq++
 	close(w.changed)
 	w.changed = make(chan struct{})
 	return w.seq
 }
 
-// lapse stops what runs on a lease that is over. It comes first in every
-// command, so that a command that lay in a buffer while this process was
-// paused cannot renew what has lapsed.
-func (w *Worker) lapse(now time.Time) {
+// stopIfLeaseEnded stops all tasks if their lease has ended. Every command calls it first,
+// so that a command that was buffered while this process was paused cannot renew
+// a lease that has lapsed.
+func (w *Worker) stopIfLeaseEnded(now time.Time) {
 	if w.leaseUntil.IsZero() || now.Before(w.leaseUntil) {
 		return
 	}
@@ -185,64 +186,66 @@
 	}
 }
 
-// expire stops the tasks when their lease ends with nobody asking.
-func (w *Worker) expire() {
+// onLeaseTimer stops the tasks whose lease ends without a command in between.
+func (w *Worker) onLeaseTimer() {
 	w.stateMu.Lock()
 	defer w.stateMu.Unlock()
-	w.lapse(time.Now())
+	w.stopIfLeaseEnded(time.Now())
 }
 
 func (w *Worker) renew(length time.Duration) {
 	now := time.Now()
-	length = w.lasting(length)
+	length = w.onMachineClock(length)
 	w.leaseUntil = now.Add(length)
-	w.controlUntil = now.Add(length / controlShare)
-	time.AfterFunc(length+time.Millisecond, w.expire)
+	w.controlUntil = now.Add(length / controlDivisor)
+	time.AfterFunc(length+time.Millisecond, w.onLeaseTimer)
 }
 
-// Owner returns the name of the owner that attached last, "" after a restart.
+// Owner returns the owner that attached last, "" after a restart.
 func (w *Worker) Owner() string {
 	w.stateMu.Lock()
 	defer w.stateMu.Unlock()
 	return w.owner
 }
 
-func (w *Worker) name() string { return w.id + "/" + strconv.Itoa(w.incarnation) }
+func (w *Worker) incarnationName() string { return w.id + "/" + strconv.Itoa(w.incarnation) }
 
-// fence refuses commands of a lower epoch and for another incarnation.
-func (w *Worker) fence(c ports.Command) error {
-	if c.Incarnation != w.name() {
-		return kind.New(kind.Fenced, "incarnation is "+w.name())
+// checkOwner refuses commands that are not from the owner that attached last, or that
+// are for another incarnation.
+func (w *Worker) checkOwner(c ports.Command) error {
+	if c.Incarnation != w.incarnationName() {
+		return kind.New(kind.Fenced, "incarnation is "+w.incarnationName())
 	}
 	if c.Epoch != w.epoch || c.Owner != w.owner {
-		return w.fenced("the rack is owned by " + w.owner)
+		return w.fencedError("the rack is owned by " + w.owner)
 	}
 	return nil
 }
 
-// fenced is the refusal of a command, with the epoch that is held.
-func (w *Worker) fenced(detail string) error {
+// fencedError returns the error that refuses a command, with the epoch of the owner.
+func (w *Worker) fencedError(detail string) error {
 	return kind.Wrap(kind.Fenced, &ports.HigherEpoch{Epoch: w.epoch}, detail)
 }
 
-// admit decides on a new owner. One that comes without a newer table epoch
-// must wait until the control of the last one has lapsed.
-func (w *Worker) admit(c ports.Command) error {
+// checkAttach decides whether a new owner may attach. One without a newer table epoch
+// has to wait until the control of the present owner has ended.
+func (w *Worker) checkAttach(c ports.Command) error {
 	if !w.epoch.Less(c.Epoch) {
-		return w.fenced("the epoch is not above that of " + w.owner)
+		return w.fencedError("the epoch is not above that of " + w.owner)
 	}
 	held := c.Owner != w.owner && time.Now().Before(w.controlUntil)
 	if c.Epoch.Table == w.epoch.Table && held {
-		return w.fenced("control is held by " + w.owner)
+		return w.fencedError("control is held by " + w.owner)
 	}
 	return nil
 }
 
-// reports tells an owner that attaches of every task.
+// reports returns the reports of all tasks, for an owner that attaches. From then
+// on it learns of the ends of calls by its watch.
 func (w *Worker) reports() []ports.TaskReport {
 	out := []ports.TaskReport{}
 	for _, t := range w.tasks {
-		t.answered = false
+		t.endInResponse = false
 		out = append(out, w.report(t))
 	}
 	return out
@@ -251,19 +254,19 @@
 func (w *Worker) report(t *run) ports.TaskReport {
 	ran := t.ran
 	if t.state == ports.TaskRunning {
-		ran += time.Since(t.began)
+		ran += time.Since(t.started)
 	}
 	return ports.TaskReport{
 		Task: t.task, State: t.state, Answer: t.answer,
-		Checkpoint: t.saved, RanMS: ran.Milliseconds(),
+		Checkpoint: t.checkpoint, RanMS: ran.Milliseconds(),
 	}
 }
 
 func (w *Worker) accept(req *ports.StartRequest) (*run, error) {
 	w.stateMu.Lock()
 	defer w.stateMu.Unlock()
-	w.lapse(time.Now())
-	if err := w.fence(req.Command); err != nil {
+	w.stopIfLeaseEnded(time.Now())
+	if err := w.checkOwner(req.Command); err != nil {
 		return nil, err
 	}
 	t := w.tasks[req.Task.ID]
@@ -277,70 +280,72 @@
 }
 
 func (w *Worker) launch(req *ports.StartRequest) *run {
-	t := &run{task: req.Task, state: ports.TaskRunning, given: req.Task.Demand, done: make(chan struct{})}
+	t := &run{task: req.Task, state: ports.TaskRunning, held: req.Task.Demand, done: make(chan struct{})}
 	_ = json.Unmarshal(req.Task.Payload, &t.payload)
-	w.given = w.given.Add(t.given)
-	over := !w.capacity.Covers(&w.given)
+	w.inUse = w.inUse.Add(t.held)
+	over := !w.capacity.Covers(&w.inUse)
 	w.record.start(w.id, &t.task, t.payload.Tag, over, w.leavingSince)
 	w.tasks[t.task.ID] = t
-	t.answered = t.task.Call
-	w.renewAtLeast(time.Duration(req.LeaseMS) * time.Millisecond)
-	t.began = time.Now()
+	t.endInResponse = t.task.Call
+	w.ensureLease(time.Duration(req.LeaseMS) * time.Millisecond)
+	t.started = time.Now()
 	t.timer = time.AfterFunc(w.remaining(t), func() { w.finish(t) })
-	w.autosave(t)
+	w.scheduleSave(t)
 	return t
 }
 
-// renewAtLeast gives the first task of an idle worker its lease.
-func (w *Worker) renewAtLeast(length time.Duration) {
-	if time.Now().Add(w.lasting(length)).After(w.leaseUntil) {
+// ensureLease renews the lease unless it already lasts longer. A worker without
+// tasks may have none.
+func (w *Worker) ensureLease(length time.Duration) {
+	if time.Now().Add(w.onMachineClock(length)).After(w.leaseUntil) {
 		w.renew(length)
 	}
 }
 
-// remaining is how long t still has to run, counted from its checkpoint.
+// remaining returns how long t still has to run, counted from its checkpoint.
 func (w *Worker) remaining(t *run) time.Duration {
 	if t.ran == 0 && t.task.Checkpoint != "" {
 		var done int64
 		_ = json.Unmarshal(w.objects.Get(t.task.Checkpoint), &done)
 		t.ran = time.Duration(done) * time.Millisecond
-		t.saved = t.task.Checkpoint
+		t.checkpoint = t.task.Checkpoint
 	}
 	if t.payload.Service {
-		return forever
+		return serviceLength
 	}
 	return max(0, time.Duration(t.payload.MS)*time.Millisecond-t.ran)
 }
 
-func (w *Worker) autosave(t *run) {
+// scheduleSave saves checkpoints of t at the interval in its payload.
+func (w *Worker) scheduleSave(t *run) {
 	if t.payload.SaveMS == 0 {
 		return
 	}
-	t.saver = time.AfterFunc(time.Duration(t.payload.SaveMS)*time.Millisecond, func() {
+	t.saveTimer = time.AfterFunc(time.Duration(t.payload.SaveMS)*time.Millisecond, func() {
 		w.stateMu.Lock()
 		defer w.stateMu.Unlock()
 		if t.state.Ended() {
 			return
 		}
 		w.save(t)
-		t.seq = w.touch()
-		w.autosave(t)
+		t.seq = w.notifyWatches()
+		w.scheduleSave(t)
 	})
 }
 
 func (w *Worker) save(t *run) {
 	ran := t.ran
 	if t.state == ports.TaskRunning {
-		ran += time.Since(t.began)
+		ran += time.Since(t.started)
 	}
-	t.saved = "checkpoint/" + t.task.ID + "/" + strconv.Itoa(int(t.task.Attempt))
-	w.objects.Put(t.saved, strconv.AppendInt(nil, ran.Milliseconds(), 10))
+	t.checkpoint = "checkpoint/" + t.task.ID + "/" + strconv.Itoa(int(t.task.Attempt))
+	w.objects.Put(t.checkpoint, strconv.AppendInt(nil, ran.Milliseconds(), 10))
 }
 
 func (w *Worker) finish(t *run) {
 	w.stateMu.Lock()
 	defer w.stateMu.Unlock()
-	w.lapse(time.Now())
+	w.stopIfLeaseEnded(time.Now())
 	if t.state.Ended() || w.crashed {
 		return
 	}
@@ -355,33 +360,33 @@
 	}
 	w.end(t, ports.TaskFinished, string(ports.TaskFinished))
 	if t.task.Call && t.task.Repeat != ports.RepeatNever {
-		// Its answer goes out on the connection; nobody will ask for it again.
+		// Its answer is sent in the response to the start; nobody asks for it again.
 		time.AfterFunc(time.Second, func() { w.forget(t.task.ID, t.task.Attempt) })
 	}
 }
 
-// end takes a task out of what runs. The lock is held.
+// end ends a task in the given state. The lock must be held.
 func (w *Worker) end(t *run, state ports.TaskState, what string) {
 	if t.state.Ended() {
 		return
 	}
 	if t.state == ports.TaskRunning {
-		t.ran += time.Since(t.began)
+		t.ran += time.Since(t.started)
 	}
 	t.state = state
 	t.timer.Stop()
-	if t.saver != nil {
-		t.saver.Stop()
+	if t.saveTimer != nil {
+		t.saveTimer.Stop()
 	}
-	w.given = w.given.Sub(t.given)
-	w.record.end(w.id, what, &t.task, t.given)
-	if !t.answered {
-		t.seq = w.touch()
+	w.inUse = w.inUse.Sub(t.held)
+	w.record.end(w.id, what, &t.task, t.held)
+	if !t.endInResponse {
+		t.seq = w.notifyWatches()
 	}
 	close(t.done)
 }
 
-func (w *Worker) carryOut(t *run, a ports.Action) {
+func (w *Worker) perform(t *run, a ports.Action) {
 	switch a {
 	case ports.ActThrottle:
 		w.throttle(t)
@@ -399,13 +404,13 @@
 	if t.state != ports.TaskRunning {
 		return
 	}
-	t.ran += time.Since(t.began)
+	t.ran += time.Since(t.started)
 	t.state = ports.TaskThrottled
 	t.timer.Stop()
 	left := time.Duration(t.payload.MS)*time.Millisecond - t.ran
-	t.timer = time.AfterFunc(left*throttledShare, func() { w.finish(t) })
-	less := sched.Vec{sched.MilliCPU: t.given[sched.MilliCPU] - t.given[sched.MilliCPU]/throttledShare}
-	w.regive(t, sched.Vec{}.Sub(less))
+	t.timer = time.AfterFunc(left*throttleDivisor, func() { w.finish(t) })
+	freed := sched.Vec{sched.MilliCPU: t.held[sched.MilliCPU] - t.held[sched.MilliCPU]/throttleDivisor}
+	w.changeHeld(t, sched.Vec{}.Sub(freed))
 }
 
 func (w *Worker) resume(t *run) {
@@ -413,23 +418,24 @@
 		return
 	}
 	t.state = ports.TaskRunning
-	t.began = time.Now()
+	t.started = time.Now()
 	t.timer.Stop()
 	t.timer = time.AfterFunc(w.remaining(t), func() { w.finish(t) })
-	w.regive(t, t.task.Demand.Sub(t.given))
-	if !w.capacity.Covers(&w.given) {
-		w.record.over(w.id, &t.task)
+	w.changeHeld(t, t.task.Demand.Sub(t.held))
+	if !w.capacity.Covers(&w.inUse) {
+		w.record.resumedBeyondCapacity(w.id, &t.task)
 	}
 }
 
-func (w *Worker) regive(t *run, delta sched.Vec) {
-	t.given = t.given.Add(delta)
-	w.given = w.given.Add(delta)
+// changeHeld changes the resources that a task holds.
+func (w *Worker) changeHeld(t *run, delta sched.Vec) {
+	t.held = t.held.Add(delta)
+	w.inUse = w.inUse.Add(delta)
 	w.record.adjust(delta)
-	t.seq = w.touch()
+	t.seq = w.notifyWatches()
 }
 
-// forget drops a task that is over.
+// forget removes a task that is over.
 func (w *Worker) forget(id string, attempt uint32) {
 	w.stateMu.Lock()
 	defer w.stateMu.Unlock()
--- a/internal/standin/worker_http.go
+++ b/internal/standin/worker_http.go
@@ -41,14 +41,14 @@
 	}
 	w.stateMu.Lock()
 	defer w.stateMu.Unlock()
-	w.lapse(time.Now())
-	if err := w.admit(c); err != nil {
+	w.stopIfLeaseEnded(time.Now())
+	if err := w.checkAttach(c); err != nil {
 		refuse(rw, err)
 		return
 	}
 	w.epoch, w.owner = c.Epoch, c.Owner
 	writeJSON(rw, ports.AttachReply{
-		Worker: w.id, Incarnation: w.name(), Capacity: w.capacity,
+		Worker: w.id, Incarnation: w.incarnationName(), Capacity: w.capacity,
 		Leaving: w.leaving, Seq: w.seq, Tasks: w.reports(),
 	})
 }
@@ -63,29 +63,30 @@
 		refuse(rw, err)
 		return
 	}
-	w.answer(rw, r, t)
+	w.replyWhenOver(rw, r, t)
 }
 
-// answer sends the report of a task, for a call once it is over.
-func (w *Worker) answer(rw http.ResponseWriter, r *http.Request, t *run) {
+// replyWhenOver sends the report of a task; for a call it waits until the task is over.
+func (w *Worker) replyWhenOver(rw http.ResponseWriter, r *http.Request, t *run) {
 	if t.task.Call {
 		select {
 		case <-t.done:
 		case <-r.Context().Done():
-			w.unheard(t)
+			w.reportByWatch(t)
 			return
 		}
 	}
 	w.reply(rw, t)
 }
 
-// unheard has a watch tell of the end of a call whose caller hung up.
-func (w *Worker) unheard(t *run) {
+// reportByWatch has the watch report the end of a call, because the connection on which it
+// was to be sent is closed.
+func (w *Worker) reportByWatch(t *run) {
 	w.stateMu.Lock()
 	defer w.stateMu.Unlock()
-	t.answered = false
+	t.endInResponse = false
 	if t.state.Ended() {
-		t.seq = w.touch()
+		t.seq = w.notifyWatches()
 	}
 }
 
@@ -99,14 +100,14 @@
 		refuse(rw, err)
 		return
 	}
-	w.answer(rw, r, t)
+	w.replyWhenOver(rw, r, t)
 }
 
 func (w *Worker) find(req *ports.JoinRequest) (*run, error) {
 	w.stateMu.Lock()
 	defer w.stateMu.Unlock()
-	w.lapse(time.Now())
-	if err := w.fence(req.Command); err != nil {
+	w.stopIfLeaseEnded(time.Now())
+	if err := w.checkOwner(req.Command); err != nil {
 		return nil, err
 	}
 	t := w.tasks[req.ID]
@@ -116,9 +117,10 @@
 	return t, nil
 }
 
-// reply sends the report of a task, cut or crossed if the switches say so.
+// reply sends the report of a task, with an answer that is truncated or has another
+// task's id if such a fault is injected.
 func (w *Worker) reply(rw http.ResponseWriter, t *run) {
-	p := w.next()
+	p := w.nextPlan()
 	w.stateMu.Lock()
 	crashed := w.crashed
 	rep := w.report(t)
@@ -145,8 +147,8 @@
 		return
 	}
 	w.stateMu.Lock()
-	w.lapse(time.Now())
-	if err := w.fence(req.Command); err != nil {
+	w.stopIfLeaseEnded(time.Now())
+	if err := w.checkOwner(req.Command); err != nil {
 		w.stateMu.Unlock()
 		refuse(rw, err)
 		return
@@ -175,6 +177,7 @@
 	writeJSON(rw, rep)
 }
 
+// changes returns the reports of the tasks that changed after a sequence number.
 func (w *Worker) changes(after uint64) []ports.TaskReport {
 	var out []ports.TaskReport
 	for _, t := range w.tasks {
@@ -192,8 +195,8 @@
 	}
 	w.stateMu.Lock()
 	defer w.stateMu.Unlock()
-	w.lapse(time.Now())
-	if err := w.fence(req.Command); err != nil {
+	w.stopIfLeaseEnded(time.Now())
+	if err := w.checkOwner(req.Command); err != nil {
 		refuse(rw, err)
 		return
 	}
@@ -203,7 +206,7 @@
 		return
 	}
 	if !t.state.Ended() {
-		w.carryOut(t, req.Action)
+		w.perform(t, req.Action)
 	}
 	writeJSON(rw, w.report(t))
 }
