--- a/test/bed/admin.go
+++ b/test/bed/admin.go
@@ -14,7 +14,8 @@
 	"dewpass.org/ports"
 )
 
-// Owners returns the owner of each rack, as the entries that run see it.
+// Owners returns the owner of each rack as seen by the first running entry that
+// responds.
 func (b *Bed) Owners(ctx context.Context) (map[string]string, error) {
 	for _, p := range b.Entries {
 		if !p.Running() {
@@ -30,11 +31,11 @@
 		}
 		return out, nil
 	}
-	return nil, errors.New("no entry answers")
+	return nil, errors.New("no running entry responds")
 }
 
-// AwaitTree waits until a version of the tree is in force at every entry that
-// runs.
+// AwaitTree waits until a version of the tree, or a later one, is in force at every
+// running entry.
 func (b *Bed) AwaitTree(ctx context.Context, version uint64) error {
 	return b.await(ctx, func(ctx context.Context) error {
 		for _, p := range b.Entries {
@@ -53,28 +54,28 @@
 	})
 }
 
-// Record returns what the workers' own book says.
+// Record returns the summary of the workers' record.
 func (b *Bed) Record(ctx context.Context) (standin.Summary, error) {
 	var s standin.Summary
 	err := b.Admin.Do(ctx, http.MethodGet, "/record", nil, &s)
 	return s, err
 }
 
-// Starts returns how often work started, by the callers' own tags.
+// Starts returns how often each request was started, by the callers' own tags.
 func (b *Bed) Starts(ctx context.Context) (map[string]int, error) {
 	var tags map[string]int
 	err := b.Admin.Do(ctx, http.MethodGet, "/record/tags", nil, &tags)
 	return tags, err
 }
 
-// Commits returns the number of transactions of the stand-in's table so far.
+// Commits returns the number of transactions of the platform's table so far.
 func (b *Bed) Commits(ctx context.Context) (uint64, error) {
 	var n uint64
 	err := b.Admin.Do(ctx, http.MethodGet, "/record/commits", nil, &n)
 	return n, err
 }
 
-// Clients speaks to each entry.
+// Clients returns a client for each entry.
 func (b *Bed) Clients() []*client.Client {
 	var out []*client.Client
 	for _, p := range b.Entries {
@@ -83,23 +84,23 @@
 	return out
 }
 
-// Fault sets the switches of the stand-in's table, objects, instances, or of a
-// worker ("worker/ID").
+// Fault replaces the faults injected into a part of the platform: "table",
+// "objects", "instances" or, for a worker, "worker/ID".
 func (b *Bed) Fault(ctx context.Context, what string, f standin.Faults) error {
 	return b.Admin.Do(ctx, http.MethodPost, "/faults/"+what, f, nil)
 }
 
-// Worker brings an event about at a worker: crash, restart, leave or return.
+// Worker triggers an event at a worker: crash, restart, leave or return.
 func (b *Bed) Worker(ctx context.Context, id, what string) error {
 	return b.Admin.Do(ctx, http.MethodPost, "/worker/"+id+"/"+what, nil, nil)
 }
 
-// List puts an instance into the platform's list, whether it is there or not.
+// List adds an instance to the platform's list, whether or not it exists.
 func (b *Bed) List(ctx context.Context, in ports.Instance) error {
 	return b.Admin.Do(ctx, http.MethodPut, "/instances", in, nil)
 }
 
-// Unlist takes an instance out of the platform's list, though it may live.
+// Unlist removes an instance from the platform's list, whether or not it runs.
 func (b *Bed) Unlist(ctx context.Context, id string) error {
 	return b.Admin.Do(ctx, http.MethodDelete, "/instances/"+id, nil, nil)
 }
--- a/test/bed/bed.go
+++ b/test/bed/bed.go
@@ -22,28 +22,28 @@
 	"dewpass.org/tree"
 )
 
-// Options says how to start a bed.
+// Options configures a Bed.
 type Options struct {
 	Deployment Deployment
-	// PerHall is the number of entry instances in each hall; with 0 there is
-	// the stand-in alone.
+	// PerHall is the number of entry instances in each hall; with 0 only the
+	// stand-in process is started.
 	PerHall int
-	// Dewpass and StandIn are the binaries.
+	// Dewpass and StandIn are the paths of the binaries.
 	Dewpass string
 	StandIn string
 	// Examples is the folder of the example trees.
 	Examples string
-	// Dir is where settings and logs go.
+	// Dir is the folder for settings and logs.
 	Dir string
-	// TaskLease is the task lease, "" for the default.
+	// TaskLease is the setting task-lease; "" leaves the default.
 	TaskLease string
-	// Debug logs more.
+	// Debug sets the log level to debug.
 	Debug bool
-	// TLS is used for callers and between instances; nil is plain TCP.
+	// TLS holds the keys for callers and between instances; nil means plain TCP.
 	TLS *keys.Files
-	// OTLP is where traces go, "" for nowhere.
+	// OTLP is the endpoint to which traces are sent; "" sends none.
 	OTLP string
-	// Pprof serves profiles.
+	// Pprof has the entries serve profiles.
 	Pprof bool
 }
 
@@ -54,17 +54,18 @@
 	Entries []*Process
 	standIn *Process
 	lane    *port.Range
-	// Admin speaks to the stand-in's switches and record.
+	// Admin is a client of the stand-in process: the platform's protocol, faults and
+	// record.
 	Admin *client.Client
-	// Balancer speaks to any entry.
+	// Balancer is a client of the load balancer, which forwards to any entry.
 	Balancer *client.Client
 }
 
 const (
-	readyWithin = 30 * time.Second
-	poll        = 50 * time.Millisecond
-	httpTimeout = 40 * time.Second
-	conns       = 256
+	readyTimeout = 30 * time.Second
+	pollInterval = 50 * time.Millisecond
+	httpTimeout  = 40 * time.Second
+	maxIdleConns = 256
 )
 
 // Start starts a deployment and waits until every entry is ready.
@@ -73,7 +74,7 @@
 	if err != nil {
 		return nil, err
 	}
-	config, err := plan(o.Deployment, o.PerHall, lane)
+	config, err := assignPorts(o.Deployment, o.PerHall, lane)
 	if err != nil {
 		_ = lane.Close()
 		return nil, errors.Wrap(err, "ports")
@@ -98,14 +99,14 @@
 	if err := b.standIn.Start(); err != nil {
 		return errors.Wrap(err, "stand-in")
 	}
-	if err := b.await(ctx, b.standInUp); err != nil {
+	if err := b.await(ctx, b.checkStandIn); err != nil {
 		return errors.Wrap(err, "stand-in")
 	}
-	if err := b.seed(ctx); err != nil {
+	if err := b.writeTree(ctx); err != nil {
 		return errors.Wrap(err, "tree")
 	}
 	for _, e := range b.Config.Entries {
-		p, err := b.entry(e)
+		p, err := b.newEntry(e)
 		if err != nil {
 			return err
 		}
@@ -116,7 +117,7 @@
 	}
 	for _, p := range b.Entries {
 		if !p.Running() {
-			return errors.Errorf("%s has ended; see %s", p.Addr.ID, p.log)
+			return errors.Errorf("entry %s has exited; see %s", p.Addr.ID, p.log)
 		}
 	}
 	if len(b.Entries) == 0 {
@@ -125,9 +126,9 @@
 	return b.AwaitReady(ctx)
 }
 
-// seed writes the example tree into the table, as an operator's first edit.
-func (b *Bed) seed(ctx context.Context) error {
-	raw, err := b.doc()
+// writeTree writes the tree of the deployment into the table, as an operator's first edit.
+func (b *Bed) writeTree(ctx context.Context) error {
+	raw, err := b.treeDoc()
 	if err != nil {
 		return err
 	}
@@ -136,14 +137,14 @@
 	return err
 }
 
-func (b *Bed) doc() ([]byte, error) {
+func (b *Bed) treeDoc() ([]byte, error) {
 	if b.Deployment.Doc != nil {
 		return b.Deployment.Doc, nil
 	}
 	return os.ReadFile(filepath.Join(b.Examples, b.Deployment.Tree))
 }
 
-func (b *Bed) entry(e EntryAddr) (*Process, error) {
+func (b *Bed) newEntry(e EntryAddr) (*Process, error) {
 	peers := []string{}
 	for _, o := range b.Config.Entries {
 		if o.ID != e.ID && o.Hall == e.Hall {
@@ -189,13 +190,13 @@
 	return os.WriteFile(file, raw, 0o600)
 }
 
-func (b *Bed) standInUp(ctx context.Context) error {
+func (b *Bed) checkStandIn(ctx context.Context) error {
 	return b.Admin.Do(ctx, http.MethodGet, "/record", nil, nil)
 }
 
-// await calls f until it gives no error.
+// await calls f until it returns no error, for at most readyTimeout.
 func (b *Bed) await(ctx context.Context, f func(context.Context) error) error {
-	ctx, cancel := context.WithTimeout(ctx, readyWithin)
+	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	for {
 		err := f(ctx)
@@ -203,15 +204,15 @@
 			return nil
 		}
 		select {
-		case <-time.After(poll):
+		case <-time.After(pollInterval):
 		case <-ctx.Done():
-			return errors.Wrap(err, "not up in time")
+			return errors.Wrap(err, "not ready in time")
 		}
 	}
 }
 
-// AwaitReady waits until every entry that runs is ready and all racks are
-// owned, with every worker attached.
+// AwaitReady waits until every running entry is ready and sees all workers
+// attached.
 func (b *Bed) AwaitReady(ctx context.Context) error {
 	return b.await(ctx, func(ctx context.Context) error {
 		up := 0
@@ -225,13 +226,13 @@
 			}
 		}
 		if up == 0 {
-			return errors.New("every entry has ended")
+			return errors.New("every entry has exited")
 		}
-		return b.allOwned(ctx)
+		return b.checkAttached(ctx)
 	})
 }
 
-func (b *Bed) allOwned(ctx context.Context) error {
+func (b *Bed) checkAttached(ctx context.Context) error {
 	for _, p := range b.Entries {
 		if !p.Running() {
 			continue
@@ -251,7 +252,7 @@
 	return nil
 }
 
-// Close ends every process of the bed.
+// Close kills every process of the bed.
 func (b *Bed) Close() {
 	for _, p := range b.Entries {
 		p.Kill()
@@ -262,7 +263,8 @@
 	_ = b.lane.Close()
 }
 
-// Start starts the process; it is also how one that has ended comes back.
+// Start starts the process, or restarts it after it has exited. Its output is
+// appended to its log.
 func (p *Process) Start() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/test/bed/config.go
+++ b/test/bed/config.go
@@ -27,7 +27,7 @@
 	Peer string `json:"peer"`
 }
 
-// WorkerSpec is one stand-in worker.
+// WorkerSpec is the configuration of one worker.
 type WorkerSpec struct {
 	ID       string    `json:"id"`
 	Hall     string    `json:"hall"`
@@ -46,11 +46,11 @@
 	return ports.Instance{ID: w.ID, Role: ports.RoleWorker, Hall: w.Hall, Rack: w.Rack, Addr: w.Addr}
 }
 
-// plan lays a deployment out on free ports of the loopback.
-func plan(d Deployment, perHall int, lane *port.Range) (StandIn, error) {
+// assignPorts assigns free loopback ports to all parts of a deployment.
+func assignPorts(d Deployment, perHall int, lane *port.Range) (StandIn, error) {
 	needed := 2
 	for i := range d.Halls {
-		entries, racks := d.size(i, perHall)
+		entries, racks := d.hallSize(i, perHall)
 		needed += 2*entries + racks*d.WorkersPerRack
 	}
 	addrs, err := lane.Allocate(needed)
@@ -64,7 +64,7 @@
 	}
 	s := StandIn{Platform: next(), Balancer: next()}
 	for n, hall := range d.Halls {
-		entries, racks := d.size(n, perHall)
+		entries, racks := d.hallSize(n, perHall)
 		for i := range entries {
 			e := EntryAddr{ID: fmt.Sprintf("%s-%d", hall, i+1), Hall: hall, HTTP: next(), Peer: next()}
 			s.Entries = append(s.Entries, e)
--- a/test/bed/deployment.go
+++ b/test/bed/deployment.go
@@ -4,25 +4,25 @@
 
 import "dewpass.org/sched"
 
-// Deployment is the shape of a cell.
+// Deployment is the size of a cell and its tree.
 type Deployment struct {
 	Name     string
 	Halls    []string
 	Capacity sched.Vec
-	// RacksPerHall and WorkersPerRack give the workers.
+	// RacksPerHall and WorkersPerRack give the number of workers; each has Capacity.
 	RacksPerHall   int
 	WorkersPerRack int
-	// FarPerHall and FarRacks are the numbers of instances and racks of all
-	// halls but the first, where they differ from it; 0 is as in the first.
+	// FarPerHall and FarRacks are the numbers of entry instances and racks in
+	// each hall but the first; 0 means the same number as in the first.
 	FarPerHall int
 	FarRacks   int
-	// Tree is the name of the example tree, and Doc a tree in its place.
+	// Tree is the file of the example tree; Doc, if set, is used in its place.
 	Tree string
 	Doc  []byte
 }
 
-// size returns the numbers of instances and racks of a hall.
-func (d Deployment) size(hall, perHall int) (entries, racks int) {
+// hallSize returns the numbers of entry instances and racks of a hall.
+func (d Deployment) hallSize(hall, perHall int) (entries, racks int) {
 	entries, racks = perHall, d.RacksPerHall
 	if hall > 0 && d.FarPerHall > 0 {
 		entries = d.FarPerHall
@@ -33,7 +33,7 @@
 	return entries, racks
 }
 
-// The two deployments of today.
+// Comhar and Kartvela are the two deployments in use.
 var (
 	Comhar = Deployment{
 		Name: "comhar", Halls: []string{"naas-hall", "athy-hall", "carlow-hall"},
@@ -47,7 +47,7 @@
 	}
 )
 
-// Named returns a deployment by its name.
+// Named returns the deployment with a name, and whether there is one.
 func Named(name string) (Deployment, bool) {
 	for _, d := range []Deployment{Comhar, Kartvela} {
 		if d.Name == name {
--- a/test/bed/proc_linux.go
+++ b/test/bed/proc_linux.go
@@ -12,8 +12,8 @@
 	"time"
 )
 
-// dieWithParent makes the kernel end a process when the one that started it
-// ends, however it ends.
+// dieWithParent returns attributes with which the kernel kills a process when the
+// thread that started it ends, for whatever reason.
 func dieWithParent() *syscall.SysProcAttr {
 	return &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 }
@@ -21,7 +21,8 @@
 // clockTick is the unit of the times in /proc/PID/stat.
 const clockTick = 10 * time.Millisecond
 
-// ioBytes returns what a process has read and written, sockets included.
+// ioBytes returns the number of bytes that a process has read and written,
+// including sockets.
 func ioBytes(pid int) int64 {
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/io", pid))
 	if err != nil {
@@ -38,7 +39,7 @@
 	return sum
 }
 
-// usage reads what a process uses from /proc; see proc(5).
+// usage reads the resource usage of a process from /proc; see proc(5).
 func usage(pid int) Usage {
 	var u Usage
 	if stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid)); err == nil {
--- a/test/bed/process.go
+++ b/test/bed/process.go
@@ -15,7 +15,7 @@
 	"dewpass.org/keys"
 )
 
-// Process is one process of a bed.
+// Process is one process of a bed. Addr is set for an entry only.
 type Process struct {
 	Addr EntryAddr
 	path string
@@ -29,13 +29,13 @@
 	tls    *keys.Files
 }
 
-// Client speaks to this entry alone.
+// Client returns a client of this entry.
 func (p *Process) Client() *client.Client {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.client == nil {
 		p.client = &client.Client{Base: "http://" + p.Addr.HTTP, HTTP: newHTTP()}
-		if pair := p.pair(); pair != nil {
+		if pair := p.tlsKeys(); pair != nil {
 			p.client.Base = "https://" + p.Addr.HTTP
 			p.client.HTTP.Transport.(*http.Transport).TLSClientConfig = pair.ClientConfig("127.0.0.1")
 		}
@@ -43,8 +43,9 @@
 	return p.client
 }
 
-// pair loads the keys of an entry that speaks TLS; nil for one that does not.
-func (p *Process) pair() *keys.Pair {
+// tlsKeys loads the keys of an entry that uses TLS. It returns nil for plain TCP and
+// if the keys cannot be read.
+func (p *Process) tlsKeys() *keys.Pair {
 	if p.tls == nil {
 		return nil
 	}
@@ -55,7 +56,7 @@
 	return pair
 }
 
-// Faults sets the rules at the fault points of an entry that was built with
+// Faults replaces the rules at the fault points of an entry that was built with
 // the tag faults.
 func (p *Process) Faults(ctx context.Context, rules any) error {
 	return p.Client().Do(ctx, http.MethodPut, "/debug/faults", rules, nil)
@@ -64,11 +65,11 @@
 func newHTTP() *http.Client {
 	return &http.Client{
 		Timeout:   httpTimeout,
-		Transport: &http.Transport{MaxIdleConnsPerHost: conns, MaxIdleConns: 4 * conns},
+		Transport: &http.Transport{MaxIdleConnsPerHost: maxIdleConns, MaxIdleConns: 4 * maxIdleConns},
 	}
 }
 
-// Running reports whether the process has not ended.
+// Running reports whether the process was started and has not exited.
 func (p *Process) Running() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -91,7 +92,7 @@
 	}
 }
 
-// Kill ends the process at once.
+// Kill sends SIGKILL and waits until the process has exited.
 func (p *Process) Kill() {
 	if !p.Running() {
 		return
@@ -100,13 +101,14 @@
 	<-p.done
 }
 
-// Freeze holds the process up until Thaw.
+// Freeze suspends the process until Thaw.
 func (p *Process) Freeze() { p.signal(syscall.SIGSTOP) }
 
-// Thaw lets the process carry on.
+// Thaw resumes the process.
 func (p *Process) Thaw() { p.signal(syscall.SIGCONT) }
 
-// Stop begins a planned stop and waits for its end.
+// Stop sends SIGTERM and waits until the process has exited; it fails if that takes
+// longer than within.
 func (p *Process) Stop(within time.Duration) error {
 	p.signal(syscall.SIGTERM)
 	select {
@@ -117,8 +119,7 @@
 	}
 }
 
-// Usage returns the processor time that the process has used, and its
-// resident and anonymous memory in KiB.
+// Usage returns the resource usage of the process so far.
 func (p *Process) Usage() Usage {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -128,12 +129,12 @@
 	return usage(p.cmd.Process.Pid)
 }
 
-// Usage is what a process uses.
+// Usage is the resource usage of a process: processor time, and memory in KiB.
 type Usage struct {
 	CPU           time.Duration
 	ResidentKiB   int64
 	AnonymousKiB  int64
 	PeakResideKiB int64
-	// Bytes is what the process has read and written.
+	// Bytes is the number of bytes that the process has read and written.
 	Bytes int64
 }
