--- a/test/load/doc.go
+++ b/test/load/doc.go
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package load sends work to a bed and checks what comes back: every answer
-// must be whole and belong to its own request.
+// Package load sends calls and jobs to a bed and checks the answers: every answer
+// must be complete and belong to its own request.
 package load
--- a/test/load/item.go
+++ b/test/load/item.go
@@ -21,7 +21,7 @@
 	"dewpass.org/ports"
 )
 
-// Item is one request.
+// Item is one request, for a call or a job.
 type Item struct {
 	Workload string
 	Job      bool
@@ -29,14 +29,14 @@
 	Shop     string
 	Key      string
 	Payload  standin.Payload
-	// FirstTry says so to dewpass.
+	// FirstTry tells dewpass that the request was not sent before.
 	FirstTry bool
-	// Deadline is that of the caller; 0 leaves it to the tree.
+	// Deadline is set by the caller; with 0 that of the tree applies.
 	Deadline time.Duration
 }
 
-// NewItem returns an item with a tag and, for work that must not be repeated,
-// a key of its own.
+// NewItem returns an item with its own tag and its own key; callers clear the key
+// of requests that may be repeated.
 func NewItem(workload string, ran time.Duration) Item {
 	tag := ulid.Make().String()
 	return Item{
@@ -45,7 +45,8 @@
 	}
 }
 
-type body struct {
+// requestBody is the JSON body of a request.
+type requestBody struct {
 	Workload   string          `json:"workload"`
 	Shop       string          `json:"shop"`
 	Key        string          `json:"key,omitempty"`
@@ -55,18 +56,18 @@
 	Payload    json.RawMessage `json:"payload"`
 }
 
-func (it *Item) body() (body, error) {
+func (it *Item) body() (requestBody, error) {
 	raw, err := json.Marshal(it.Payload)
-	return body{
+	return requestBody{
 		Workload: it.Workload, Shop: it.Shop, Key: it.Key, Once: it.Once,
 		FirstTry: it.FirstTry, DeadlineMS: it.Deadline.Milliseconds(), Payload: raw,
 	}, err
 }
 
-// ErrWrong marks an answer that is not the whole answer to its own request.
+// ErrWrong marks an answer that is incomplete or belongs to another request.
 var ErrWrong = errors.New("wrong answer")
 
-// Call sends a call and checks its answer.
+// Call makes a call and checks its answer.
 func Call(ctx context.Context, c *client.Client, it Item) (front.Answer, error) {
 	var ans front.Answer
 	b, err := it.body()
@@ -76,10 +77,10 @@
 	if err := c.Do(ctx, http.MethodPost, "/v1/calls", b, &ans); err != nil {
 		return ans, err
 	}
-	return ans, check(it, b.Payload, ans.ID, ans.Digest, int(ans.Length), ans.Answer)
+	return ans, checkAnswer(it, b.Payload, ans.ID, ans.Digest, int(ans.Length), ans.Answer)
 }
 
-// Submit sends a job.
+// Submit submits a job and returns its row.
 func Submit(ctx context.Context, c *client.Client, it Item) (job.Job, error) {
 	var row job.Job
 	b, err := it.body()
@@ -90,7 +91,7 @@
 	return row, err
 }
 
-// Get asks for a job.
+// Get returns the row of a job.
 func Get(ctx context.Context, c *client.Client, id string) (job.Job, error) {
 	return get(ctx, c, id, "")
 }
@@ -101,9 +102,10 @@
 	return row, err
 }
 
-const pollEvery = 100 * time.Millisecond
+const pollInterval = 100 * time.Millisecond
 
-// Await asks for a job until it is over, and checks its answer if it is done.
+// Await polls a job until it is over or its outcome is unknown, and checks its answer
+// if it is done.
 func Await(ctx context.Context, c *client.Client, it Item, id string) (job.Job, error) {
 	for {
 		row, err := get(ctx, c, id, "?wait=5s")
@@ -111,17 +113,17 @@
 			return row, err
 		}
 		if err == nil && (row.State.Final() || row.State == job.Unknown) {
-			return row, checkRow(it, row)
+			return row, checkJob(it, row)
 		}
 		select {
-		case <-time.After(pollEvery):
+		case <-time.After(pollInterval):
 		case <-ctx.Done():
 			return row, errors.Errorf("job %s is %q: %v", id, row.State, err)
 		}
 	}
 }
 
-func checkRow(it Item, row job.Job) error {
+func checkJob(it Item, row job.Job) error {
 	if row.State != job.Done {
 		return nil
 	}
@@ -129,12 +131,12 @@
 	if err != nil {
 		return err
 	}
-	return check(it, b.Payload, row.ID, row.Answer.Digest, row.Answer.Length, row.Answer.Body)
+	return checkAnswer(it, b.Payload, row.ID, row.Answer.Digest, row.Answer.Length, row.Answer.Body)
 }
 
-func check(it Item, payload []byte, id, digest string, length int, answer []byte) error {
+func checkAnswer(it Item, payload []byte, id, digest string, length int, answer []byte) error {
 	if length != len(answer) || digest != ports.Digest(answer) {
-		return errors.Wrap(ErrWrong, "cut short or damaged")
+		return errors.Wrap(ErrWrong, "length or digest does not match the answer")
 	}
 	var got standin.Body
 	if err := json.Unmarshal(answer, &got); err != nil {
--- a/test/load/run.go
+++ b/test/load/run.go
@@ -19,7 +19,8 @@
 	"dewpass.org/kind"
 )
 
-// Stream is work that arrives at a steady rate, whatever becomes of it.
+// Stream is a series of requests at a constant rate, which does not depend on their
+// outcomes.
 type Stream struct {
 	Workload  string
 	PerSecond float64
@@ -27,32 +28,35 @@
 	Runs time.Duration
 	Once bool
 	Job  bool
-	// Bytes is the size of filler in each answer.
+	// Bytes is the size of the filler in each answer.
 	Bytes int
-	// Save is how often a task saves a checkpoint; 0 is never.
+	// Save is the interval at which a task saves a checkpoint; 0 means never.
 	Save time.Duration
 }
 
-// Result is what came of a stream.
+// Result counts the requests of a stream by their outcomes.
 type Result struct {
-	Stream  Stream
-	Sent    int
-	Whole   int
+	Stream Stream
+	Sent   int
+	// Whole counts calls with a correct answer and jobs that are done.
+	Whole int
+	// Refused counts, by kind, requests that failed and were not run.
 	Refused map[kind.Kind]int
+	// Unknown counts requests that failed and may have run.
 	Unknown int
-	// Wrong counts answers that were not the whole answer to their request.
+	// Wrong counts answers that were incomplete or belonged to another request.
 	Wrong int
-	// Lost counts jobs that were accepted and of which nothing came.
+	// Lost counts jobs that were accepted and did not end as done.
 	Lost int
-	// First is the first thing that went wrong.
+	// First is the first error of a request that is unknown, wrong or lost.
 	First error
 	// Wait is the time before the work started, in microseconds: for a call
-	// what its caller waited beyond its run, for a job from its acceptance to
-	// its start.
+	// its latency less the length of its run, for a job the time from its
+	// acceptance to its start.
 	Wait *hdrhistogram.Histogram
 
-	mu   sync.Mutex
-	over int
+	mu       sync.Mutex
+	finished int
 }
 
 const (
@@ -60,11 +64,12 @@
 	waitDigits = 2
 )
 
-// Progress is told how far a run is.
+// Progress is called every second with the time since the run began, its longest
+// duration, and the numbers of requests sent and over.
 type Progress func(at, of time.Duration, sent, over int)
 
-// Run sends the streams for the given length, waits up to settle for what is
-// still on its way, and returns what came of them.
+// Run sends the streams for the given length, waits up to settle for outstanding
+// requests, and returns the results of the streams.
 func Run(ctx context.Context, c *client.Client, streams []Stream, length, settle time.Duration, p Progress) []*Result {
 	ctx, cancel := context.WithTimeout(ctx, length+settle)
 	defer cancel()
@@ -82,12 +87,12 @@
 			r.send(ctx, c, length, &wg)
 		}()
 	}
-	watch(results, length, settle, p, &wg)
+	reportProgress(results, length, settle, p, &wg)
 	return results
 }
 
-// watch reports progress until all is over.
-func watch(results []*Result, length, settle time.Duration, p Progress, wg *sync.WaitGroup) {
+// reportProgress reports progress until all requests are over.
+func reportProgress(results []*Result, length, settle time.Duration, p Progress, wg *sync.WaitGroup) {
 	done := make(chan struct{})
 	go func() {
 		wg.Wait()
@@ -113,7 +118,7 @@
 	for _, r := range results {
 		r.mu.Lock()
 		sent += r.Sent
-		over += r.over
+		over += r.finished
 		r.mu.Unlock()
 	}
 	return sent, over
@@ -130,13 +135,13 @@
 		r.mu.Unlock()
 		go func() {
 			defer wg.Done()
-			r.one(ctx, c)
+			r.sendOne(ctx, c)
 		}()
 		<-t.C
 	}
 }
 
-func (r *Result) one(ctx context.Context, c *client.Client) {
+func (r *Result) sendOne(ctx context.Context, c *client.Client) {
 	it := NewItem(r.Stream.Workload, r.Stream.Runs)
 	it.FirstTry = true
 	if !r.Stream.Once && !r.Stream.Job {
@@ -154,7 +159,7 @@
 	r.count(wait, err)
 }
 
-// errLost marks a job of which nothing came.
+// errLost marks a job that was accepted and did not end as done.
 var errLost = errors.New("job lost")
 
 func (r *Result) job(ctx context.Context, c *client.Client, it Item) (time.Duration, error) {
@@ -178,7 +183,7 @@
 func (r *Result) count(wait time.Duration, err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.over++
+	r.finished++
 	switch {
 	case err == nil:
 		r.Whole++
@@ -199,7 +204,7 @@
 	}
 }
 
-// Table prints results as one table.
+// Table prints the results as a table.
 func Table(w io.Writer, results []*Result) {
 	fmt.Fprintf(w, "%-26s %7s %7s %8s %8s %6s %6s %10s %10s %10s\n",
 		"KIND OF WORK", "SENT", "WHOLE", "REFUSED", "UNKNOWN", "WRONG", "LOST", "WAIT P50", "P99", "MAX")
@@ -210,11 +215,11 @@
 		}
 		fmt.Fprintf(w, "%-26s %7d %7d %8d %8d %6d %6d %10s %10s %10s%s\n",
 			r.Stream.Workload, r.Sent, r.Whole, refused, r.Unknown, r.Wrong, r.Lost,
-			micros(r.Wait.ValueAtQuantile(50)), micros(r.Wait.ValueAtQuantile(99)), micros(r.Wait.Max()), r.kinds())
+			micros(r.Wait.ValueAtQuantile(50)), micros(r.Wait.ValueAtQuantile(99)), micros(r.Wait.Max()), r.refusedKinds())
 	}
 }
 
-func (r *Result) kinds() string {
+func (r *Result) refusedKinds() string {
 	var out []string
 	for k, n := range r.Refused {
 		out = append(out, fmt.Sprintf("%s %d", k, n))
--- a/test/load/track.go
+++ b/test/load/track.go
@@ -16,32 +16,33 @@
 	"dewpass.org/kind"
 )
 
-// Tracker sends work while failures are brought about, keeps what was said of
-// each request, and in the end holds it against what the workers wrote down.
+// Tracker sends requests while failures are injected and keeps the response to each,
+// for Verify to compare with the record of the workers.
 type Tracker struct {
-	// Clients are those of all instances; each request goes to one of them.
+	// Clients are the clients of all instances; each request uses a random one.
 	Clients []*client.Client
-	// Seed makes the choices the same in every run.
+	// Seed makes the random choices reproducible.
 	Seed uint64
 
-	mu   sync.Mutex
-	rng  *rand.Rand
-	said []Said
-	wg   sync.WaitGroup
+	mu        sync.Mutex
+	rng       *rand.Rand
+	responses []Said
+	wg        sync.WaitGroup
 }
 
-// Said is what dewpass said of one request.
+// Said is the final response of dewpass to one request.
 type Said struct {
 	Item    Item
 	ID      string
 	Outcome string
 	Kind    kind.Kind
 	Err     error
-	// Took is how long the answer took.
+	// Took is the time to the response.
 	Took time.Duration
 }
 
-// What may be said of a request.
+// Outcomes of a request: those of kind.Outcome, and those of responses without an
+// error (Whole for a call, Accepted for a job) or with a wrong answer.
 const (
 	Whole    = "whole"
 	Accepted = "accepted"
@@ -60,7 +61,7 @@
 	return t.Clients[t.rng.IntN(len(t.Clients))]
 }
 
-// Send sends a stream for the given length.
+// Send starts to send a stream for the given length.
 func (t *Tracker) Send(ctx context.Context, s Stream, length time.Duration) {
 	t.wg.Add(1)
 	go func() {
@@ -72,65 +73,66 @@
 			t.wg.Add(1)
 			go func() {
 				defer t.wg.Done()
-				t.one(ctx, s)
+				t.sendOne(ctx, s)
 			}()
 			<-ticker.C
 		}
 	}()
 }
 
-// Wait waits until all that was sent is answered.
+// Wait waits until every request has its final response, and returns them.
 func (t *Tracker) Wait() []Said {
 	t.wg.Wait()
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.said
+	return t.responses
 }
 
-func (t *Tracker) one(ctx context.Context, s Stream) {
+func (t *Tracker) sendOne(ctx context.Context, s Stream) {
 	it := NewItem(s.Workload, s.Runs)
 	it.Payload.SaveMS, it.Payload.Bytes = s.Save.Milliseconds(), s.Bytes
 	it.FirstTry = true
 	if !s.Once && !s.Job {
 		it.Key = ""
 	}
-	said := t.try(ctx, it, s.Job)
-	// A caller that hears nothing certain of a keyed request asks again at
-	// another instance, with the same key.
-	for i := 0; i < retries && it.Key != "" && said.Outcome == Unknown && said.ID == ""; i++ {
-		time.Sleep(retryAfter)
+	resp := t.attempt(ctx, it, s.Job)
+	// The caller retries a keyed request whose outcome is unknown with the same
+	// key, maybe at another instance.
+	for i := 0; i < maxRetries && it.Key != "" && resp.Outcome == Unknown && resp.ID == ""; i++ {
+		time.Sleep(retryDelay)
 		it.FirstTry = false
-		said = t.try(ctx, it, s.Job)
+		resp = t.attempt(ctx, it, s.Job)
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.said = append(t.said, said)
+	t.responses = append(t.responses, resp)
 }
 
 const (
-	retries    = 20
-	retryAfter = 500 * time.Millisecond
+	maxRetries = 20
+	retryDelay = 500 * time.Millisecond
 )
 
-func (t *Tracker) try(ctx context.Context, it Item, isJob bool) Said {
+func (t *Tracker) attempt(ctx context.Context, it Item, isJob bool) Said {
 	c := t.pick()
 	began := time.Now()
-	said := Said{Item: it}
+	resp := Said{Item: it}
 	if isJob {
 		row, err := Submit(ctx, c, it)
-		said.ID, said.Err, said.Outcome = row.ID, err, Accepted
+		resp.ID, resp.Err, resp.Outcome = row.ID, err, Accepted
 	} else {
 		ans, err := Call(ctx, c, it)
-		said.ID, said.Err, said.Outcome = ans.ID, err, Whole
+		resp.ID, resp.Err, resp.Outcome = ans.ID, err, Whole
 	}
-	said.Took = time.Since(began)
-	if said.Err != nil {
-		said.judge()
+	resp.Took = time.Since(began)
+	if resp.Err != nil {
+		resp.classify()
 	}
-	return said
+	return resp
 }
 
-func (s *Said) judge() {
+// classify sets the outcome of a request from its error.
+func (s *Said) classify() {
 	if errors.Is(s.Err, ErrWrong) {
 		s.Outcome = Wrong
 		return
@@ -140,20 +142,20 @@
 	s.Outcome = e.Outcome.String()
 }
 
-// Verify holds what was said against the starts that the workers wrote down,
-// by the callers' own tags, and returns every contradiction. It waits until
-// jobs that were accepted are over, and asks again for what was unknown.
-func Verify(ctx context.Context, c *client.Client, said []Said, starts func(tag string) int) []string {
+// Verify compares the responses with the starts that the workers recorded, by the
+// callers' own tags, and returns every contradiction. It waits until accepted jobs
+// are over, and looks up requests whose outcome was unknown.
+func Verify(ctx context.Context, c *client.Client, responses []Said, starts func(tag string) int) []string {
 	var mu sync.Mutex
 	var wrong []string
 	var wg sync.WaitGroup
-	gate := make(chan struct{}, 32)
-	for _, s := range said {
+	slots := make(chan struct{}, 32)
+	for _, s := range responses {
 		wg.Add(1)
-		gate <- struct{}{}
+		slots <- struct{}{}
 		go func() {
 			defer wg.Done()
-			defer func() { <-gate }()
+			defer func() { <-slots }()
 			if fault := verify(ctx, c, s, starts); fault != "" {
 				mu.Lock()
 				wrong = append(wrong, fmt.Sprintf("%s %s %s: %s (%v)", s.Item.Workload, s.ID, s.Outcome, fault, s.Err))
@@ -169,25 +171,26 @@
 	tag := s.Item.Payload.Tag
 	switch s.Outcome {
 	case Wrong:
-		return "not the whole answer to its own request"
+		return "the answer is incomplete or belongs to another request"
 	case NotRun:
 		if n := starts(tag); n != 0 {
-			return fmt.Sprintf("said not_run, but started %d times", n)
+			return fmt.Sprintf("reported as not_run, but started %d times", n)
 		}
 	case Whole:
 		if n := starts(tag); n < 1 {
 			return "answered, but never started"
 		}
 	case Accepted, Unknown, Failed:
-		return verifyLater(ctx, c, s, starts)
+		return verifyEnd(ctx, c, s, starts)
 	}
 	return ""
 }
 
-// verifyLater asks for what became of work whose fate was open.
-func verifyLater(ctx context.Context, c *client.Client, s Said, starts func(string) int) string {
+// verifyEnd verifies a request whose response did not tell its end: it waits for
+// the end and compares that with the starts.
+func verifyEnd(ctx context.Context, c *client.Client, s Said, starts func(string) int) string {
 	if s.ID == "" || (s.Outcome == Unknown && s.Item.Key == "") {
-		// Repeatable calls have no row; nothing was promised of them.
+		// Repeatable calls have no row, and nothing is guaranteed for them.
 		return ""
 	}
 	row, err := Await(ctx, c, s.Item, s.ID)
--- a/test/standin/main.go
+++ b/test/standin/main.go
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Command standin is the stand-in of all that dewpass runs on, as one process:
-// the platform, its workers, and the balancer. It is for tests and the demo,
-// and not part of the shipped binary.
+// Command standin runs the test doubles of all that dewpass runs on in one process:
+// the platform, its workers and the load balancer. It is for tests and the demo, and
+// not part of the shipped binary.
 package main
 
 import (
@@ -19,7 +19,7 @@
 )
 
 func main() {
-	file := flag.String("config", "", "file with the configuration")
+	file := flag.String("config", "", "`file` with the configuration (JSON)")
 	flag.Parse()
 	if err := run(*file); err != nil {
 		fmt.Fprintln(os.Stderr, "standin:", err)
