--- a/internal/standin/world/crash.go
+++ b/internal/standin/world/crash.go
@@ -139,20 +139,21 @@
 	return n
 }
 
-// processName names the latest process with an id: the id alone if there was only one.
+// processName names the latest process with an id: the id alone if there was only one. The name decides
+// which steps the policy service lets it run.
 func (w *World) processName(id string) string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	lives := 0
+	processes := 0
 	for _, n := range w.Workers {
 		if n.ID == id {
-			lives++
+			processes++
 		}
 	}
-	if lives < 2 {
+	if processes < 2 {
 		return id
 	}
-	return fmt.Sprintf("%s, life %d", id, lives)
+	return fmt.Sprintf("%s, life %d", id, processes)
 }
 
 // replaceWorker records that a machine now runs n instead of old.
--- a/internal/standin/world/worker.go
+++ b/internal/standin/world/worker.go
@@ -333,7 +333,7 @@
 			continue
 		}
 		if e.number > w.reportedEnd[owner] {
-			w.world.Book.addViolation("OBSERVED", fmt.Sprintf("%s is to forget end %d, of %s, by owner %d, which was told up to %d",
+			w.world.Book.addViolation("OBSERVED", fmt.Sprintf("%s is asked to forget end %d, of %s, by owner %d, to which ends up to %d were reported",
 				w.ID, e.number, e.task, owner, w.reportedEnd[owner]))
 		}
 		w.world.Book.recordObserved(e.entry)
