--- a/commit/commit_test.go
+++ b/commit/commit_test.go
@@ -52,7 +52,7 @@
 	It("combines many changes into few transactions", func(ctx context.Context) {
 		const changes = 200
 		slow := func(ports.Txn) error { time.Sleep(5 * time.Millisecond); return nil }
-		table.Set(func(l *standin.Local) { l.Before = slow })
+		table.Set(func(l *standin.Local) { l.BeforeCommit = slow })
 		var wg sync.WaitGroup
 		for i := range changes {
 			wg.Add(1)
@@ -81,7 +81,7 @@
 	It("reads back the outcome after a lost reply and writes nothing twice", func(ctx context.Context) {
 		var commits atomic.Int32
 		table.Set(func(l *standin.Local) {
-			l.After = func(ports.Txn) error {
+			l.AfterCommit = func(ports.Txn) error {
 				if commits.Add(1)%2 == 1 {
 					return kind.New(kind.Lost, "test")
 				}
@@ -99,7 +99,7 @@
 		var late ports.Txn
 		first := true
 		table.Set(func(l *standin.Local) {
-			l.Before = func(t ports.Txn) error {
+			l.BeforeCommit = func(t ports.Txn) error {
 				if first {
 					first, late = false, t
 					return kind.New(kind.Lost, "test: delayed")
@@ -117,8 +117,8 @@
 
 	It("returns unavailable only for changes that are never written", func(ctx context.Context) {
 		table.Set(func(l *standin.Local) {
-			l.Before = func(ports.Txn) error { return kind.New(kind.Unavailable, "test") }
-			l.Reading = func() error { return kind.New(kind.Unavailable, "test") }
+			l.BeforeCommit = func(ports.Txn) error { return kind.New(kind.Unavailable, "test") }
+			l.BeforeRead = func() error { return kind.New(kind.Unavailable, "test") }
 		})
 		_, err := j.Commit(bounded(ctx), put("a", "v"))
 		Expect(kind.Is(err, kind.Unavailable)).To(BeTrue())
@@ -126,15 +126,15 @@
 		_, err = j.Commit(bounded(ctx), put("b", "v"))
 		Expect(kind.Is(err, kind.Unavailable)).To(BeTrue())
 		Expect(time.Since(began)).To(BeNumerically("<", 400*time.Millisecond), "refused at once")
-		table.Set(func(l *standin.Local) { l.Before, l.Reading = nil, nil })
+		table.Set(func(l *standin.Local) { l.BeforeCommit, l.BeforeRead = nil, nil })
 		Eventually(j.Failing).Should(BeFalse(), "the journal probes the table until it answers")
 		Expect(table.Table.Get("a", "b")).To(HaveEach(HaveField("Version", BeZero())))
 	})
 
 	It("returns lost when it cannot read back the outcome", func(ctx context.Context) {
 		table.Set(func(l *standin.Local) {
-			l.After = func(ports.Txn) error { return kind.New(kind.Lost, "test") }
-			l.Reading = func() error { return kind.New(kind.Unavailable, "test") }
+			l.AfterCommit = func(ports.Txn) error { return kind.New(kind.Lost, "test") }
+			l.BeforeRead = func() error { return kind.New(kind.Unavailable, "test") }
 		})
 		_, err := j.Commit(bounded(ctx), put("a", "v"))
 		Expect(kind.Is(err, kind.Lost)).To(BeTrue())
@@ -148,7 +148,7 @@
 		go away.Run(running)
 		sent := false
 		table.Set(func(l *standin.Local) {
-			l.Before = func(ports.Txn) error { sent = true; return kind.New(kind.Lost, "test") }
+			l.BeforeCommit = func(ports.Txn) error { sent = true; return kind.New(kind.Lost, "test") }
 		})
 		_, err := away.Commit(bounded(ctx), put("a", "v"))
 		Expect(kind.Is(err, kind.Unavailable)).To(BeTrue(), "%v", err)
--- a/expiry/expiry_test.go
+++ b/expiry/expiry_test.go
@@ -90,7 +90,7 @@
 		refused := job.Expiry{Hall: "h", At: now.Add(-time.Hour), Shop: "s", Key: "refused"}
 		put(refused.Put(), ports.Put{Key: job.RequestKeyRowKey("s", "refused"), Value: job.Encode(job.RequestKey{Refused: true})})
 		table.Set(func(l *standin.Local) {
-			l.Before = func(ports.Txn) error { time.Sleep(2 * time.Millisecond); return nil }
+			l.BeforeCommit = func(ports.Txn) error { time.Sleep(2 * time.Millisecond); return nil }
 		})
 		before := table.Commits()
 		n, err := s.SweepJobs(ctx, now)
@@ -127,7 +127,7 @@
 		add("a", job.Done, now.Add(-time.Hour))
 		changed := false
 		table.Set(func(l *standin.Local) {
-			l.Before = func(t ports.Txn) error {
+			l.BeforeCommit = func(t ports.Txn) error {
 				if !changed {
 					changed = true
 					put(ports.Put{Key: job.RequestKeyRowKey("s", "k-a"), Value: job.Encode(job.RequestKey{ID: "another"})})
--- a/hall/hall_test.go
+++ b/hall/hall_test.go
@@ -322,8 +322,8 @@
 		sendHello(1, &wire.Rack{Rack: "r1", EpochTable: 1}, &wire.Rack{Rack: "r2", EpochTable: 1})
 		fail := func() error { return kind.New(kind.Unavailable, "test") }
 		table.Set(func(l *standin.Local) {
-			l.Before = func(ports.Txn) error { return fail() }
-			l.Reading = fail
+			l.BeforeCommit = func(ports.Txn) error { return fail() }
+			l.BeforeRead = fail
 		})
 		_, second, _ := start("two", peers)
 		Eventually(second.Owned, 4*hall.MemberLease).Should(HaveLen(2))
@@ -342,7 +342,7 @@
 				}
 			}
 		}()
-		table.Set(func(l *standin.Local) { l.Before, l.Reading = nil, nil })
+		table.Set(func(l *standin.Local) { l.BeforeCommit, l.BeforeRead = nil, nil })
 		Eventually(func() string { return owner("r1").Owner }, 4*hall.MemberLease).Should(Equal("two@b"))
 		Eventually(second.Owned).Should(HaveKeyWithValue("r1", lease.Epoch{Table: 2}))
 	})
@@ -358,8 +358,8 @@
 		Eventually(first.Owned).Should(HaveKey("r2"))
 		fail := func() error { return kind.New(kind.Unavailable, "test") }
 		table.Set(func(l *standin.Local) {
-			l.Before = func(ports.Txn) error { return fail() }
-			l.Reading = fail
+			l.BeforeCommit = func(ports.Txn) error { return fail() }
+			l.BeforeRead = fail
 		})
 		Eventually(first.Owned, 4*hall.MemberLease).Should(HaveKeyWithValue("r1", lease.Epoch{Table: 5, Local: 1}))
 		Expect(first.Owned()).To(HaveKey("r2"))
--- a/internal/standin/local.go
+++ b/internal/standin/local.go
@@ -15,14 +15,14 @@
 type Local struct {
 	*Table
 	mu sync.Mutex
-	// Before is called before each commit; with an error the commit fails
+	// BeforeCommit is called before each commit; with an error the commit fails
 	// without effect.
-	Before func(ports.Txn) error
-	// After is called after each commit took effect; with an error the caller
+	BeforeCommit func(ports.Txn) error
+	// AfterCommit is called after each commit took effect; with an error the caller
 	// gets that error in place of the result.
-	After func(ports.Txn) error
-	// Reading is called before each read; with an error the read fails.
-	Reading func() error
+	AfterCommit func(ports.Txn) error
+	// BeforeRead is called before each read; with an error the read fails.
+	BeforeRead func() error
 }
 
 // NewLocal returns an empty table.
@@ -38,7 +38,7 @@
 func (l *Local) hooks() (before, after func(ports.Txn) error, reading func() error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.Before, l.After, l.Reading
+	return l.BeforeCommit, l.AfterCommit, l.BeforeRead
 }
 
 // readError returns the error with which a read has to fail, if any.
--- a/internal/standin/world/book.go
+++ b/internal/standin/world/book.go
@@ -15,8 +15,8 @@
 	Worker string
 	Begun  time.Time
 	Ended  time.Time
-	// How is how the run ended: done, failed, stopped, lapsed or lost.
-	How string
+	// Outcome is how the run ended: done, failed, stopped, lapsed or lost.
+	Outcome string
 	// Observed is true once an owner has acknowledged the end, so that the worker
 	// may forget it.
 	Observed bool
@@ -59,7 +59,7 @@
 		switch {
 		case old.Ended.IsZero():
 			b.violations = append(b.violations, fmt.Sprintf("TWICE: %s runs on %s and %s", o.Task, old.Worker, w.ID))
-		case old.How == "done":
+		case old.Outcome == "done":
 			b.violations = append(b.violations, fmt.Sprintf("TWICE: %s is started on %s after it was done on %s", o.Task, w.ID, old.Worker))
 		}
 	}
@@ -71,7 +71,7 @@
 func (b *Book) recordEnd(e *Entry, how string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	e.Ended, e.How = time.Now(), how
+	e.Ended, e.Outcome = time.Now(), how
 	if how == "failed" {
 		b.failed[e.Task]++
 	}
@@ -103,7 +103,7 @@
 		if e.Worker == worker && !e.Observed {
 			e.Lapsed = true
 			if e.Ended.IsZero() {
-				e.Ended, e.How = time.Now(), "lost"
+				e.Ended, e.Outcome = time.Now(), "lost"
 			}
 		}
 	}
@@ -123,9 +123,9 @@
 	b.violations = append(b.violations, rule+": "+what)
 }
 
-// Broken returns the violations found so far, each as the name of the rule and what
+// Violations returns the violations found so far, each as the name of the rule and what
 // was seen.
-func (b *Book) Broken() []string {
+func (b *Book) Violations() []string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return append([]string(nil), b.violations...)
--- a/internal/standin/world/crash.go
+++ b/internal/standin/world/crash.go
@@ -31,8 +31,8 @@
 	return j.CrashAfter, err == nil && (j.CrashOnly < 0 || index == j.CrashOnly)
 }
 
-// Rebirth says how a worker restarts after a crash. With the zero value it does not restart.
-type Rebirth struct {
+// Restart says how a worker restarts after a crash. With the zero value it does not restart.
+type Restart struct {
 	// Down is the time from the crash to the restart.
 	Down time.Duration
 	// SameID restarts it under its old id, with no memory of its former runs; otherwise it is a
@@ -56,16 +56,16 @@
 }
 
 // nextRestart returns how the worker that crashes now restarts.
-func (w *World) nextRestart() Rebirth {
-	if w.options.Next == nil {
-		return Rebirth{Down: crashDowntime}
+func (w *World) nextRestart() Restart {
+	if w.options.NextRestart == nil {
+		return Restart{Down: crashDowntime}
 	}
-	return w.options.Next()
+	return w.options.NextRestart()
 }
 
 // Crash ends a worker's process: its connections are closed, new ones are refused, and its entry
 // stays in the store for staleEntryTime.
-func (w *World) Crash(n *Worker, restart Rebirth) {
+func (w *World) Crash(n *Worker, restart Restart) {
 	n.mu.Lock()
 	if n.dead {
 		n.mu.Unlock()
@@ -88,7 +88,7 @@
 }
 
 // restart starts a new worker process on the machine of a worker that has crashed.
-func (w *World) restart(old *Worker, r Rebirth) {
+func (w *World) restart(old *Worker, r Restart) {
 	select {
 	case <-w.stop:
 		return
--- a/internal/standin/world/crash_test.go
+++ b/internal/standin/world/crash_test.go
@@ -25,5 +25,5 @@
 	r.crashAt = r.started.Add(150 * time.Millisecond)
 	n.tick(r.started.Add(100 * time.Millisecond))
 	n.tick(r.started.Add(310 * time.Millisecond))
-	g.Expect(w.Book.Starts()[0].How).NotTo(Equal("done"))
+	g.Expect(w.Book.Starts()[0].Outcome).NotTo(Equal("done"))
 }
--- a/internal/standin/world/machines.go
+++ b/internal/standin/world/machines.go
@@ -53,8 +53,8 @@
 	upkeeps int
 }
 
-// Fail replaces the injected faults.
-func (m *Machines) Fail(f MachineFaults) {
+// SetFaults replaces the injected faults.
+func (m *Machines) SetFaults(f MachineFaults) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.faults = f
@@ -71,8 +71,8 @@
 	return out
 }
 
-// Begun returns how many upkeeps have begun.
-func (m *Machines) Begun() int {
+// UpkeepsBegun returns how many upkeeps have begun.
+func (m *Machines) UpkeepsBegun() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.upkeeps
@@ -93,9 +93,9 @@
 	MaxItems int      `json:"max_items"`
 }
 
-// Wave writes an upkeep wave into the store: it names the machines, how many of them may be down at a
+// PutWave writes an upkeep wave into the store: it names the machines, how many of them may be down at a
 // time, and how long the wave may take.
-func (w *World) Wave(number, maxDown int, within time.Duration, machines []string) {
+func (w *World) PutWave(number, maxDown int, within time.Duration, machines []string) {
 	w.Store.Put("op", fmt.Sprintf("wave/%d", number), waveOrder{
 		Wave: number, Machines: machines, Duration: int(within.Seconds()), MaxItems: maxDown,
 	})
@@ -223,7 +223,7 @@
 	old := mach.worker
 	m.mu.Unlock()
 	w, err := m.world.startWorker(old.Hall, mach.number, func(n *Worker) {
-		if m.world.options.Next != nil && m.world.options.Next().SameID {
+		if m.world.options.NextRestart != nil && m.world.options.NextRestart().SameID {
 			n.ID, old.successor = old.ID, n
 		}
 	})
--- a/internal/standin/world/store.go
+++ b/internal/standin/world/store.go
@@ -87,8 +87,8 @@
 	}
 }
 
-// Fail replaces the injected faults.
-func (s *Store) Fail(f StoreFaults) {
+// SetFaults replaces the injected faults.
+func (s *Store) SetFaults(f StoreFaults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults = f
--- a/internal/standin/world/worker.go
+++ b/internal/standin/world/worker.go
@@ -105,8 +105,8 @@
 	draining bool
 }
 
-// Fail replaces the injected faults, unless the worker is dead.
-func (w *Worker) Fail(f WorkerFaults) {
+// SetFaults replaces the injected faults, unless the worker is dead.
+func (w *Worker) SetFaults(f WorkerFaults) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if !w.dead {
--- a/internal/standin/world/world.go
+++ b/internal/standin/world/world.go
@@ -17,10 +17,10 @@
 
 // Options configures a World.
 type Options struct {
-	Halls    []string
-	PerHall  int
-	CPU, Mem int64
-	Seed     uint64
+	Halls          []string
+	WorkersPerHall int
+	CPU, Mem       int64
+	Seed           uint64
 	// Host is the loopback address on which everything listens.
 	Host string
 	// WorkerAddr returns the address on which a worker listens, also after a restart. If it is nil,
@@ -28,12 +28,12 @@
 	WorkerAddr func() (string, error)
 	// Advice has the policy service decide which workers may run a step: two of three.
 	Advice bool
-	// Next says how a worker restarts after a task has crashed it, and after an upkeep of its
+	// NextRestart says how a worker restarts after a task has crashed it, and after an upkeep of its
 	// machine; if it is nil, a new worker takes its place.
-	Next func() Rebirth
-	// Via, if set, returns the address at which others reach a listener, such as that of a
+	NextRestart func() Restart
+	// ProxyAddr, if set, returns the address at which others reach a listener, such as that of a
 	// proxy.
-	Via func(addr string) (string, error)
+	ProxyAddr func(addr string) (string, error)
 }
 
 // World is a test double of the users' platform.
@@ -81,7 +81,7 @@
 		return nil, err
 	}
 	for _, hall := range o.Halls {
-		for i := range o.PerHall {
+		for i := range o.WorkersPerHall {
 			if _, err := w.AddWorker(hall, i); err != nil {
 				return nil, err
 			}
@@ -97,8 +97,8 @@
 		return "", err
 	}
 	w.serveOn(l, h)
-	if w.options.Via != nil {
-		return w.options.Via(l.Addr().String())
+	if w.options.ProxyAddr != nil {
+		return w.options.ProxyAddr(l.Addr().String())
 	}
 	return l.Addr().String(), nil
 }
@@ -143,8 +143,8 @@
 	n.listen = l.Addr().String()
 	n.Addr = n.listen
 	n.server = w.serveOn(l, n)
-	if w.options.Via != nil {
-		n.Addr, err = w.options.Via(n.listen)
+	if w.options.ProxyAddr != nil {
+		n.Addr, err = w.options.ProxyAddr(n.listen)
 	}
 	return err
 }
@@ -208,8 +208,8 @@
 	return slices.Clone(w.Workers)
 }
 
-// Living returns the workers that are neither dead nor draining.
-func (w *World) Living() []*Worker {
+// ActiveWorkers returns the workers that are neither dead nor draining.
+func (w *World) ActiveWorkers() []*Worker {
 	return slices.DeleteFunc(w.allWorkers(), func(n *Worker) bool {
 		n.mu.Lock()
 		defer n.mu.Unlock()
@@ -323,8 +323,8 @@
 
 func (p *Policy) enabled() bool { return p.advice }
 
-// Asked returns the number of requests so far.
-func (p *Policy) Asked() int {
+// Requests returns the number of requests so far.
+func (p *Policy) Requests() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.requests
--- a/owner/owner_test.go
+++ b/owner/owner_test.go
@@ -188,7 +188,7 @@
 		_, err := call("k1")
 		Expect(err).NotTo(HaveOccurred())
 		c.table.Set(func(l *standin.Local) {
-			l.Before = func(ports.Txn) error { return kind.New(kind.Unavailable, "test") }
+			l.BeforeCommit = func(ports.Txn) error { return kind.New(kind.Unavailable, "test") }
 		})
 		_, err = call("k2")
 		Expect(kind.Is(err, kind.CutOff)).To(BeTrue(), "%v", err)
@@ -200,7 +200,7 @@
 		c := newFixture()
 		// The owner scans the index between the commit and its reply.
 		c.table.Set(func(l *standin.Local) {
-			l.After = func(t ports.Txn) error {
+			l.AfterCommit = func(t ports.Txn) error {
 				if len(t.Puts) > 2 {
 					time.Sleep(1600 * time.Millisecond)
 				}
@@ -227,12 +227,12 @@
 		c := newFixture()
 		o := c.startOwner("o1", 1, connect, c.workers)
 		c.table.Set(func(l *standin.Local) {
-			l.After = func(ports.Txn) error { return kind.New(kind.Lost, "test") }
-			l.Reading = func() error { return kind.New(kind.Unavailable, "test") }
+			l.AfterCommit = func(ports.Txn) error { return kind.New(kind.Lost, "test") }
+			l.BeforeRead = func() error { return kind.New(kind.Unavailable, "test") }
 		})
 		_, err := o.Call(ctx, &wire.Call{Id: "k1", Shop: "s", Key: "k1", Workload: "order", Once: true, LeftUs: 3e6, Queue: true})
 		Expect(kind.Of(err).Outcome).To(Equal(kind.Unknown), "%v", err)
-		c.table.Set(func(l *standin.Local) { l.After, l.Reading = nil, nil })
+		c.table.Set(func(l *standin.Local) { l.AfterCommit, l.BeforeRead = nil, nil })
 		Eventually(func() job.State {
 			row, _ := job.Decode(c.table.Table.Get(job.RowKey("k1"))[0].Value)
 			return row.State
@@ -244,7 +244,7 @@
 	onIntent := func(c *fixture, f func(row job.Job)) {
 		var once sync.Once
 		c.table.Set(func(l *standin.Local) {
-			l.Before = func(t ports.Txn) error {
+			l.BeforeCommit = func(t ports.Txn) error {
 				for _, p := range t.Puts {
 					if row, err := job.Decode(p.Value); err == nil && p.Key == job.RowKey("k1") && row.State == job.Dispatched {
 						once.Do(func() { f(row) })
@@ -328,7 +328,7 @@
 		c := newFixture()
 		load := make(chan struct{})
 		c.table.Set(func(l *standin.Local) {
-			l.Reading = func() error { <-load; return nil }
+			l.BeforeRead = func() error { <-load; return nil }
 		})
 		o := c.startOwner("o1", 1, connect, c.workers)
 		onIntent(c, func(job.Job) {
--- a/test/bed/admin.go
+++ b/test/bed/admin.go
@@ -84,23 +84,23 @@
 	return out
 }
 
-// Fault replaces the faults injected into a part of the platform: "table",
+// SetFaults replaces the faults injected into a part of the platform: "table",
 // "objects", "instances" or, for a worker, "worker/ID".
-func (b *Bed) Fault(ctx context.Context, what string, f standin.Faults) error {
+func (b *Bed) SetFaults(ctx context.Context, what string, f standin.Faults) error {
 	return b.Admin.Do(ctx, http.MethodPost, "/faults/"+what, f, nil)
 }
 
-// Worker triggers an event at a worker: crash, restart, leave or return.
-func (b *Bed) Worker(ctx context.Context, id, what string) error {
+// WorkerEvent triggers an event at a worker: crash, restart, leave or return.
+func (b *Bed) WorkerEvent(ctx context.Context, id, what string) error {
 	return b.Admin.Do(ctx, http.MethodPost, "/worker/"+id+"/"+what, nil, nil)
 }
 
-// List adds an instance to the platform's list, whether or not it exists.
-func (b *Bed) List(ctx context.Context, in ports.Instance) error {
+// ListInstance adds an instance to the platform's list, whether or not it exists.
+func (b *Bed) ListInstance(ctx context.Context, in ports.Instance) error {
 	return b.Admin.Do(ctx, http.MethodPut, "/instances", in, nil)
 }
 
-// Unlist removes an instance from the platform's list, whether or not it runs.
-func (b *Bed) Unlist(ctx context.Context, id string) error {
+// UnlistInstance removes an instance from the platform's list, whether or not it runs.
+func (b *Bed) UnlistInstance(ctx context.Context, id string) error {
 	return b.Admin.Do(ctx, http.MethodDelete, "/instances/"+id, nil, nil)
 }
--- a/test/bed/bed.go
+++ b/test/bed/bed.go
@@ -25,9 +25,9 @@
 // Options configures a Bed.
 type Options struct {
 	Deployment Deployment
-	// PerHall is the number of entry instances in each hall; with 0 only the
+	// EntriesPerHall is the number of entry instances in each hall; with 0 only the
 	// stand-in process is started.
-	PerHall int
+	EntriesPerHall int
 	// Dewpass and StandIn are the paths of the binaries.
 	Dewpass string
 	StandIn string
@@ -50,7 +50,7 @@
 // Bed is a running deployment.
 type Bed struct {
 	Options
-	Config  StandIn
+	Config  StandInConfig
 	Entries []*Process
 	standIn *Process
 	lane    *port.Range
@@ -74,7 +74,7 @@
 	if err != nil {
 		return nil, err
 	}
-	config, err := assignPorts(o.Deployment, o.PerHall, lane)
+	config, err := assignPorts(o.Deployment, o.EntriesPerHall, lane)
 	if err != nil {
 		_ = lane.Close()
 		return nil, errors.Wrap(err, "ports")
@@ -138,8 +138,8 @@
 }
 
 func (b *Bed) treeDoc() ([]byte, error) {
-	if b.Deployment.Doc != nil {
-		return b.Deployment.Doc, nil
+	if b.Deployment.TreeDoc != nil {
+		return b.Deployment.TreeDoc, nil
 	}
 	return os.ReadFile(filepath.Join(b.Examples, b.Deployment.Tree))
 }
--- a/test/bed/config.go
+++ b/test/bed/config.go
@@ -10,8 +10,8 @@
 	"dewpass.org/test/port"
 )
 
-// StandIn is the configuration of the stand-in process.
-type StandIn struct {
+// StandInConfig is the configuration of the stand-in process.
+type StandInConfig struct {
 	Platform string       `json:"platform"`
 	Balancer string       `json:"balancer"`
 	Targets  []string     `json:"targets"`
@@ -47,7 +47,7 @@
 }
 
 // assignPorts assigns free loopback ports to all parts of a deployment.
-func assignPorts(d Deployment, perHall int, lane *port.Range) (StandIn, error) {
+func assignPorts(d Deployment, perHall int, lane *port.Range) (StandInConfig, error) {
 	needed := 2
 	for i := range d.Halls {
 		entries, racks := d.hallSize(i, perHall)
@@ -55,14 +55,14 @@
 	}
 	addrs, err := lane.Allocate(needed)
 	if err != nil {
-		return StandIn{}, err
+		return StandInConfig{}, err
 	}
 	next := func() string {
 		addr := addrs[0]
 		addrs = addrs[1:]
 		return addr
 	}
-	s := StandIn{Platform: next(), Balancer: next()}
+	s := StandInConfig{Platform: next(), Balancer: next()}
 	for n, hall := range d.Halls {
 		entries, racks := d.hallSize(n, perHall)
 		for i := range entries {
--- a/test/bed/deployment.go
+++ b/test/bed/deployment.go
@@ -12,23 +12,23 @@
 	// RacksPerHall and WorkersPerRack give the number of workers; each has Capacity.
 	RacksPerHall   int
 	WorkersPerRack int
-	// FarPerHall and FarRacks are the numbers of entry instances and racks in
+	// EntriesPerOtherHall and FarRacks are the numbers of entry instances and racks in
 	// each hall but the first; 0 means the same number as in the first.
-	FarPerHall int
-	FarRacks   int
+	EntriesPerOtherHall int
+	RacksPerOtherHall   int
 	// Tree is the file of the example tree; Doc, if set, is used in its place.
-	Tree string
-	Doc  []byte
+	Tree    string
+	TreeDoc []byte
 }
 
 // hallSize returns the numbers of entry instances and racks of a hall.
 func (d Deployment) hallSize(hall, perHall int) (entries, racks int) {
 	entries, racks = perHall, d.RacksPerHall
-	if hall > 0 && d.FarPerHall > 0 {
-		entries = d.FarPerHall
+	if hall > 0 && d.EntriesPerOtherHall > 0 {
+		entries = d.EntriesPerOtherHall
 	}
-	if hall > 0 && d.FarRacks > 0 {
-		racks = d.FarRacks
+	if hall > 0 && d.RacksPerOtherHall > 0 {
+		racks = d.RacksPerOtherHall
 	}
 	return entries, racks
 }
--- a/test/bed/proc_linux.go
+++ b/test/bed/proc_linux.go
@@ -65,7 +65,7 @@
 		case "VmRSS:":
 			u.ResidentKiB = n
 		case "VmHWM:":
-			u.PeakResideKiB = n
+			u.PeakResidentKiB = n
 		case "RssAnon:":
 			u.AnonymousKiB = n
 		}
--- a/test/bed/process.go
+++ b/test/bed/process.go
@@ -56,9 +56,9 @@
 	return pair
 }
 
-// Faults replaces the rules at the fault points of an entry that was built with
+// SetFaultRules replaces the rules at the fault points of an entry that was built with
 // the tag faults.
-func (p *Process) Faults(ctx context.Context, rules any) error {
+func (p *Process) SetFaultRules(ctx context.Context, rules any) error {
 	return p.Client().Do(ctx, http.MethodPut, "/debug/faults", rules, nil)
 }
 
@@ -131,10 +131,10 @@
 
 // Usage is the resource usage of a process: processor time, and memory in KiB.
 type Usage struct {
-	CPU           time.Duration
-	ResidentKiB   int64
-	AnonymousKiB  int64
-	PeakResideKiB int64
+	CPU             time.Duration
+	ResidentKiB     int64
+	AnonymousKiB    int64
+	PeakResidentKiB int64
 	// Bytes is the number of bytes that the process has read and written.
 	Bytes int64
 }
--- a/test/cluster/accounts_test.go
+++ b/test/cluster/accounts_test.go
@@ -29,7 +29,7 @@
 // every instance applies it. Requests carry the first key of the first account.
 func startWithAccounts(cells int, accounts ...world.Account) *testbed {
 	GinkgoHelper()
-	b := startCells(cells, func(o *world.Options) { o.PerHall = 4 * cells })
+	b := startCells(cells, func(o *world.Options) { o.WorkersPerHall = 4 * cells })
 	b.world.SetAccounts(accounts...)
 	b.world.Configure(2, host, prefix)
 	for _, e := range b.instances {
--- a/test/cluster/bed_test.go
+++ b/test/cluster/bed_test.go
@@ -134,7 +134,7 @@
 	GinkgoHelper()
 	lane, err := port.Reserve()
 	Expect(err).NotTo(HaveOccurred())
-	o := world.Options{Halls: halls, PerHall: 4, CPU: 8000, Mem: 16000, Seed: 7, Host: local, WorkerAddr: addressSource(lane)}
+	o := world.Options{Halls: halls, WorkersPerHall: 4, CPU: 8000, Mem: 16000, Seed: 7, Host: local, WorkerAddr: addressSource(lane)}
 	for _, f := range more {
 		f(&o)
 	}
@@ -383,7 +383,7 @@
 // wantNoViolations checks the workers' record for violated rules.
 func (b *testbed) wantNoViolations() {
 	GinkgoHelper()
-	Expect(b.world.Book.Broken()).To(BeEmpty())
+	Expect(b.world.Book.Violations()).To(BeEmpty())
 }
 
 // chainJob returns a job of two steps with count tasks each, the second after the first.
--- a/test/cluster/cluster_test.go
+++ b/test/cluster/cluster_test.go
@@ -25,11 +25,11 @@
 		ids := b.submitChains(20, 4, 150, time.Second)
 		b.wantAllSucceeded(ids)
 		Expect(len(b.world.Book.Starts())).To(Equal(20 * 2 * 4))
-		Expect(b.world.Policy.Asked()).To(BeNumerically(">", 0))
+		Expect(b.world.Policy.Requests()).To(BeNumerically(">", 0))
 	})
 
 	It("divides the workers into cells, of which each instance owns one", func() {
-		b := startCells(3, func(o *world.Options) { o.PerHall, o.Advice = 12, true })
+		b := startCells(3, func(o *world.Options) { o.WorkersPerHall, o.Advice = 12, true })
 		owners := func() map[string]bool {
 			out := make(map[string]bool)
 			for _, cell := range []string{"cell-0", "cell-1", "cell-2"} {
@@ -250,18 +250,18 @@
 var _ = Describe("when the store fails", func() {
 	It("resolves writes whose answers are lost", func() {
 		b := start()
-		b.world.Store.Fail(world.StoreFaults{Lose: 0.3})
+		b.world.Store.SetFaults(world.StoreFaults{Lose: 0.3})
 		ids := b.submitChains(10, 3, 100, time.Second)
-		b.world.Store.Fail(world.StoreFaults{})
+		b.world.Store.SetFaults(world.StoreFaults{})
 		b.wantAllSucceeded(ids)
 		Expect(len(b.world.Book.Starts())).To(Equal(10 * 2 * 3))
 	})
 
 	It("resolves writes that take effect late", func() {
 		b := start()
-		b.world.Store.Fail(world.StoreFaults{Lose: 0.2, Late: time.Second})
+		b.world.Store.SetFaults(world.StoreFaults{Lose: 0.2, Late: time.Second})
 		ids := b.submitChains(6, 3, 100, time.Second)
-		b.world.Store.Fail(world.StoreFaults{})
+		b.world.Store.SetFaults(world.StoreFaults{})
 		b.wantAllSucceeded(ids)
 	})
 
@@ -277,7 +277,7 @@
 			ids = append(ids, b.submit(singleStepJob(1, 700)))
 		}
 		Eventually(b.runningCount).Should(Equal(6))
-		b.world.Store.Fail(world.StoreFaults{Silent: true})
+		b.world.Store.SetFaults(world.StoreFaults{Silent: true})
 		for _, id := range ids {
 			b.wantState(id, "succeeded")
 		}
@@ -289,7 +289,7 @@
 				b.world.Kill(w)
 			}
 		}
-		b.world.Store.Fail(world.StoreFaults{})
+		b.world.Store.SetFaults(world.StoreFaults{})
 		Eventually(func() bool { o := b.owner(); return o != nil && o != owner }).Should(BeTrue())
 		for _, id := range ids {
 			Eventually(func() string { return string(b.world.Store.Value("ended", id[:1], id)) }).Should(ContainSubstring("succeeded"))
@@ -301,7 +301,7 @@
 	It("refuses at once with Retry-After while the store is unreachable, and recovers", func() {
 		b := start()
 		ids := b.submitChains(4, 4, 500, 100*time.Millisecond)
-		b.world.Store.Fail(world.StoreFaults{Silent: true})
+		b.world.Store.SetFaults(world.StoreFaults{Silent: true})
 		e := b.nextInstance()
 		Eventually(func() int { return b.get("http://"+e.ready+"/dewpass/ready", nil) }).Should(Equal(http.StatusServiceUnavailable))
 		begun := time.Now()
@@ -312,13 +312,13 @@
 		Expect(err).NotTo(HaveOccurred())
 		Expect(after).To(BeNumerically(">", 0))
 		time.Sleep(2 * time.Second)
-		b.world.Store.Fail(world.StoreFaults{})
+		b.world.Store.SetFaults(world.StoreFaults{})
 		b.wantAllSucceeded(ids)
 	})
 
 	It("accepts jobs at a higher rate than a single part of the store allows", func() {
 		b := start()
-		b.world.Store.Fail(world.StoreFaults{PartWrites: 12})
+		b.world.Store.SetFaults(world.StoreFaults{PartWrites: 12})
 		began := time.Now()
 		ids := make([]string, 60)
 		var all sync.WaitGroup
@@ -335,10 +335,10 @@
 
 	It("tolerates a store that is slow or drops its history", func() {
 		b := start()
-		b.world.Store.Fail(world.StoreFaults{Delay: 200 * time.Millisecond})
+		b.world.Store.SetFaults(world.StoreFaults{Delay: 200 * time.Millisecond})
 		ids := b.submitChains(6, 3, 100, time.Second)
 		b.world.Store.ForgetHistory()
-		b.world.Store.Fail(world.StoreFaults{})
+		b.world.Store.SetFaults(world.StoreFaults{})
 		ids = append(ids, b.submitChains(4, 3, 100, 200*time.Millisecond)...)
 		b.wantAllSucceeded(ids)
 	})
@@ -352,12 +352,12 @@
 			if i%2 == 0 {
 				f.Late = 1500 * time.Millisecond
 			}
-			w.Fail(f)
+			w.SetFaults(f)
 		}
 		ids := b.submitChains(8, 4, 150, time.Second)
 		time.Sleep(time.Second)
 		for _, w := range b.world.Workers {
-			w.Fail(world.WorkerFaults{})
+			w.SetFaults(world.WorkerFaults{})
 		}
 		b.wantAllSucceeded(ids)
 	})
@@ -367,16 +367,16 @@
 		ids := b.submitChains(6, 4, 1500, 100*time.Millisecond)
 		Eventually(b.runningCount).Should(BeNumerically(">", 8))
 		b.world.Kill(b.world.Workers[0])
-		b.world.Workers[1].Fail(world.WorkerFaults{Silent: true})
+		b.world.Workers[1].SetFaults(world.WorkerFaults{Silent: true})
 		time.Sleep(9 * time.Second)
-		b.world.Workers[1].Fail(world.WorkerFaults{})
+		b.world.Workers[1].SetFaults(world.WorkerFaults{})
 		b.wantAllSucceeded(ids)
 	})
 
 	It("stops using workers that fail every task or on which runs hang", func() {
 		b := start()
-		b.world.Workers[0].Fail(world.WorkerFaults{FailAll: true})
-		b.world.Workers[3].Fail(world.WorkerFaults{Hang: true})
+		b.world.Workers[0].SetFaults(world.WorkerFaults{FailAll: true})
+		b.world.Workers[3].SetFaults(world.WorkerFaults{Hang: true})
 		var ids []string
 		for range 10 {
 			ids = append(ids, b.submit(`{"spec":"ms=200 cpu=500 mem=100","steps":[{"count":3,"cpu":500,"mem_mb":100,"estimate_ms":200}]}`))
--- a/test/cluster/ports_test.go
+++ b/test/cluster/ports_test.go
@@ -21,7 +21,7 @@
 		var first, last int
 		_, err = fmt.Sscan(string(raw), &first, &last)
 		Expect(err).NotTo(HaveOccurred())
-		for _, w := range newTestbed(1).world.Living() {
+		for _, w := range newTestbed(1).world.ActiveWorkers() {
 			_, port, err := net.SplitHostPort(w.Addr)
 			Expect(err).NotTo(HaveOccurred())
 			n, err := strconv.Atoi(port)
--- a/test/cluster/reborn_test.go
+++ b/test/cluster/reborn_test.go
@@ -16,7 +16,7 @@
 const maxIdle = 3 * time.Second
 
 // restartSameID is a quick restart of a worker under the same id.
-var restartSameID = world.Rebirth{Down: 200 * time.Millisecond, SameID: true}
+var restartSameID = world.Restart{Down: 200 * time.Millisecond, SameID: true}
 
 // rarelyPolledJob is a job of two steps with high estimates, so that owners rarely poll the
 // workers for the state of its tasks.
@@ -24,16 +24,16 @@
 	`{"count":3,"cpu":500,"mem_mb":100,"estimate_ms":8000,"depends_on":[0]}]}`
 
 // withRebirth sets how workers come back after a task has crashed them, or after upkeep.
-func withRebirth(how world.Rebirth) func(*world.Options) {
-	return func(o *world.Options) { o.Next = func() world.Rebirth { return how } }
+func withRebirth(how world.Restart) func(*world.Options) {
+	return func(o *world.Options) { o.NextRestart = func() world.Restart { return how } }
 }
 
 // crashAll crashes all workers and waits until they are back.
-func (b *testbed) crashAll(after world.Rebirth) {
-	for _, w := range b.world.Living() {
+func (b *testbed) crashAll(after world.Restart) {
+	for _, w := range b.world.ActiveWorkers() {
 		b.world.Crash(w, after)
 	}
-	Eventually(func() int { return len(b.world.Living()) }, after.Down+time.Second, 5*time.Millisecond).Should(Equal(4 * len(halls)))
+	Eventually(func() int { return len(b.world.ActiveWorkers()) }, after.Down+time.Second, 5*time.Millisecond).Should(Equal(4 * len(halls)))
 }
 
 // longestIdle returns the longest time between the end of the first step and the first start of
@@ -45,7 +45,7 @@
 		done := make(map[string]time.Time)
 		var over, next time.Time
 		for _, e := range starts {
-			if strings.HasPrefix(e.Task, id+".0.0.") && e.How == "done" && done[e.Task].IsZero() {
+			if strings.HasPrefix(e.Task, id+".0.0.") && e.Outcome == "done" && done[e.Task].IsZero() {
 				done[e.Task] = e.Ended
 			}
 			if strings.HasPrefix(e.Task, id+".0.1.") && (next.IsZero() || e.Begun.Before(next)) {
@@ -88,7 +88,7 @@
 	It("is used at its new address", func() {
 		b := start()
 		b.wantAllSucceeded(b.submitChains(2, 2, 100, 100*time.Millisecond))
-		b.crashAll(world.Rebirth{Down: 200 * time.Millisecond, SameID: true, OtherAddr: true})
+		b.crashAll(world.Restart{Down: 200 * time.Millisecond, SameID: true, OtherAddr: true})
 		b.wantAllSucceeded(b.submitChains(2, 2, 100, 100*time.Millisecond))
 	})
 
@@ -106,10 +106,10 @@
 	It("frees its slot in a wave of upkeep", func() {
 		b := start(withRebirth(restartSameID))
 		names := b.world.Machines.Names()
-		b.world.Wave(1, 2, 20*time.Second, names)
+		b.world.PutWave(1, 2, 20*time.Second, names)
 		ids := b.submitChains(6, 2, 300, 2*time.Second)
 		Eventually(func() string { return b.world.WaveState(1) }).Should(Equal("succeeded"))
-		Expect(b.world.Machines.Begun()).To(Equal(len(names)))
+		Expect(b.world.Machines.UpkeepsBegun()).To(Equal(len(names)))
 		b.wantAllSucceeded(ids)
 	})
 
@@ -124,7 +124,7 @@
 
 	It("is told from its former process even if its clock was set back or it is back at once", func() {
 		b := start()
-		for _, next := range []world.Rebirth{
+		for _, next := range []world.Restart{
 			{Down: 200 * time.Millisecond, SameID: true, Back: time.Hour},
 			{Down: 5 * time.Millisecond, SameID: true},
 			{Down: 5 * time.Millisecond, SameID: true, Back: time.Hour},
@@ -150,12 +150,12 @@
 	It("runs nothing twice when calls to its former process arrive late", func() {
 		b := start()
 		for range 3 {
-			all := b.world.Living()
+			all := b.world.ActiveWorkers()
 			for _, w := range all {
-				w.Fail(world.WorkerFaults{Lose: 0.3, Late: 50 * time.Millisecond, Outlives: true})
+				w.SetFaults(world.WorkerFaults{Lose: 0.3, Late: 50 * time.Millisecond, Outlives: true})
 			}
 			ids := b.submitChains(6, 3, 200, 100*time.Millisecond)
-			b.crashAll(world.Rebirth{Down: 5 * time.Millisecond, SameID: true})
+			b.crashAll(world.Restart{Down: 5 * time.Millisecond, SameID: true})
 			b.wantAllSucceeded(append(ids, b.submitChains(4, 3, 100, 200*time.Millisecond)...))
 		}
 	})
--- a/test/cluster/share_test.go
+++ b/test/cluster/share_test.go
@@ -16,7 +16,7 @@
 	const wide = `{"spec":"lasts cpu=500 mem=100","steps":[{"count":20,"cpu":500,"mem_mb":100,"estimate_ms":100,"long_running":true,"anti_affinity":1}]}`
 
 	It("keeps its count after the loss of an owner and a worker, and stops as a whole", func() {
-		b := startCells(2, func(o *world.Options) { o.PerHall = 12 })
+		b := startCells(2, func(o *world.Options) { o.WorkersPerHall = 12 })
 		Eventually(func() bool { return b.ownerOf("cell-0") != nil && b.ownerOf("cell-1") != nil }).Should(BeTrue())
 		id := b.submit(wide)
 		Eventually(b.runningCount).Should(Equal(20))
--- a/test/cluster/silent_test.go
+++ b/test/cluster/silent_test.go
@@ -29,7 +29,7 @@
 // interceptAll puts a proxy in front of every service.
 func (p *proxies) interceptAll(o *world.Options) {
 	p.all = make(map[string]*mute.Proxy)
-	o.Via = func(addr string) (string, error) {
+	o.ProxyAddr = func(addr string) (string, error) {
 		m, err := mute.Listen(addr)
 		if err != nil {
 			return "", err
--- a/test/cluster/soak_ends_test.go
+++ b/test/cluster/soak_ends_test.go
@@ -17,8 +17,8 @@
 	It("may succeed, because no owner has seen that failure", func() {
 		s := &soak{testbed: start(), started: time.Now()}
 		fail := func(all bool) {
-			for _, w := range s.world.Living() {
-				w.Fail(world.WorkerFaults{FailAll: all})
+			for _, w := range s.world.ActiveWorkers() {
+				w.SetFaults(world.WorkerFaults{FailAll: all})
 			}
 		}
 		nth := func(n int) *world.Entry {
@@ -34,18 +34,18 @@
 		Eventually(func() bool { return nth(1).Observed }).Should(BeTrue())
 		fail(false)
 		Eventually(func() string { return nth(2).Worker }).ShouldNot(BeEmpty())
-		for _, w := range s.world.Living() {
+		for _, w := range s.world.ActiveWorkers() {
 			if w.ID == nth(2).Worker {
-				w.Fail(world.WorkerFaults{FailAll: true})
+				w.SetFaults(world.WorkerFaults{FailAll: true})
 			}
 		}
 		for _, e := range s.instances {
 			e.kill()
 		}
-		Eventually(func() string { return nth(2).How }).Should(Equal("failed"))
-		for _, w := range s.world.Living() {
+		Eventually(func() string { return nth(2).Outcome }).Should(Equal("failed"))
+		for _, w := range s.world.ActiveWorkers() {
 			if w.ID == nth(2).Worker {
-				s.world.Crash(w, world.Rebirth{Down: time.Second})
+				s.world.Crash(w, world.Restart{Down: time.Second})
 			}
 		}
 		for _, e := range s.instances {
--- a/test/cluster/soak_faults_test.go
+++ b/test/cluster/soak_faults_test.go
@@ -99,9 +99,9 @@
 	}
 	defer s.release(s.world.Store)
 	s.logf("store %+v for %v", f, d.duration)
-	s.world.Store.Fail(f)
+	s.world.Store.SetFaults(f)
 	time.Sleep(d.duration)
-	s.world.Store.Fail(world.StoreFaults{})
+	s.world.Store.SetFaults(world.StoreFaults{})
 }
 
 func (s *soak) dropStoreHistory(faultParams) {
@@ -111,7 +111,7 @@
 
 // withWorker calls f with the drawn worker, unless another fault is in progress on it.
 func (s *soak) withWorker(d faultParams, f func(*world.Worker)) {
-	all := s.world.Living()
+	all := s.world.ActiveWorkers()
 	w := all[d.choice%len(all)]
 	if s.acquire(w) {
 		defer s.release(w)
@@ -125,16 +125,16 @@
 	}[d.choice%5]
 	s.withWorker(d, func(w *world.Worker) {
 		s.logf("worker %s %+v for %v", w.ID, f, d.duration)
-		w.Fail(f)
+		w.SetFaults(f)
 		time.Sleep(d.duration)
-		w.Fail(world.WorkerFaults{})
+		w.SetFaults(world.WorkerFaults{})
 	})
 }
 
 // crashWorkers crashes a worker, or one time in three all workers of its rack.
 func (s *soak) crashWorkers(d faultParams) {
 	s.withWorker(d, func(w *world.Worker) {
-		for _, o := range s.world.Living() {
+		for _, o := range s.world.ActiveWorkers() {
 			if o == w || (d.choice%3 == 0 && o.Rack == w.Rack) {
 				next := s.rebirthVariant(d.choice)
 				s.logf("crash %s, back %+v", o.ID, next)
@@ -150,8 +150,8 @@
 
 // rebirthVariant returns how a worker comes back: two times in three under its id, within a
 // heartbeat or later, at its address or another one, with its clock set back or not.
-func (s *soak) rebirthVariant(which int) world.Rebirth {
-	r := world.Rebirth{Down: []time.Duration{30 * time.Millisecond, 200 * time.Millisecond, time.Second, 2500 * time.Millisecond}[which%4]}
+func (s *soak) rebirthVariant(which int) world.Restart {
+	r := world.Restart{Down: []time.Duration{30 * time.Millisecond, 200 * time.Millisecond, time.Second, 2500 * time.Millisecond}[which%4]}
 	r.SameID = which%3 != 0
 	r.OtherAddr = which%8 >= 6
 	if which/4%2 == 0 {
@@ -162,7 +162,7 @@
 
 // drainWorker drains and removes a worker, and adds a new one.
 func (s *soak) drainWorker(d faultParams) {
-	if len(s.world.Living()) <= 2*len(halls) {
+	if len(s.world.ActiveWorkers()) <= 2*len(halls) {
 		return
 	}
 	s.withWorker(d, func(w *world.Worker) {
--- a/test/cluster/soak_lost_test.go
+++ b/test/cluster/soak_lost_test.go
@@ -26,7 +26,7 @@
 func (s *soak) lastFault(starts []world.Entry) time.Time {
 	last := s.faultsEnded.Add(maxRebirthDelay)
 	for _, e := range starts {
-		if e.How == "lost" && e.Ended.After(last) {
+		if e.Outcome == "lost" && e.Ended.After(last) {
 			last = e.Ended
 		}
 	}
--- a/test/cluster/soak_promises_test.go
+++ b/test/cluster/soak_promises_test.go
@@ -65,7 +65,7 @@
 		for _, e := range s.world.Book.Starts() {
 			if strings.HasPrefix(e.Task, id) {
 				fmt.Fprintf(&out, "%6.2f to %6.2f %s run %d on %s: %s, observed %v, lapsed %v\n",
-					e.Begun.Sub(s.started).Seconds(), e.Ended.Sub(s.started).Seconds(), e.Task, e.Run, e.Worker, e.How, e.Observed, e.Lapsed)
+					e.Begun.Sub(s.started).Seconds(), e.Ended.Sub(s.started).Seconds(), e.Task, e.Run, e.Worker, e.Outcome, e.Observed, e.Lapsed)
 			}
 		}
 		return out.String()
@@ -81,7 +81,7 @@
 func (s *soak) attemptsUsedUp(id string) (must, may bool) {
 	fails, noted := make(map[string]int), make(map[string]int)
 	for _, e := range s.world.Book.Starts() {
-		if !strings.HasPrefix(e.Task, id) || e.How != "failed" {
+		if !strings.HasPrefix(e.Task, id) || e.Outcome != "failed" {
 			continue
 		}
 		if fails[e.Task]++; !e.Lapsed {
@@ -105,7 +105,7 @@
 	var done time.Time
 	first := make(map[string]time.Time)
 	for _, e := range starts {
-		if strings.Contains(e.Task, ".0.0.") && e.How == "done" && first[e.Task].IsZero() {
+		if strings.Contains(e.Task, ".0.0.") && e.Outcome == "done" && first[e.Task].IsZero() {
 			first[e.Task] = e.Ended
 		}
 	}
@@ -127,7 +127,7 @@
 func notDone(starts []world.Entry) []string {
 	done := make(map[string]bool)
 	for _, e := range starts {
-		done[e.Task] = done[e.Task] || e.How == "done"
+		done[e.Task] = done[e.Task] || e.Outcome == "done"
 	}
 	var out []string
 	for task, ok := range done {
--- a/test/cluster/soak_test.go
+++ b/test/cluster/soak_test.go
@@ -219,12 +219,12 @@
 			large := func(*world.Options) {}
 			if seed%largeEvery == 0 {
 				clients *= 2
-				large = func(o *world.Options) { o.PerHall = largeHallWorkers }
+				large = func(o *world.Options) { o.WorkersPerHall = largeHallWorkers }
 			}
 			ways := rand.New(rand.NewPCG(seed, 8))
 			var mu sync.Mutex
 			next := func(o *world.Options) {
-				o.Next = func() world.Rebirth {
+				o.NextRestart = func() world.Restart {
 					mu.Lock()
 					defer mu.Unlock()
 					return s.rebirthVariant(ways.IntN(rebirthVariants))
--- a/test/demo/cluster.go
+++ b/test/demo/cluster.go
@@ -44,7 +44,7 @@
 // instances as processes of their own, and a load of jobs with two steps. Half way one instance
 // is killed and started again.
 func runCluster(ctx context.Context, length time.Duration, perHall int) error {
-	w, err := world.Start(world.Options{Halls: demoHalls, PerHall: 8, CPU: 16000, Mem: 32768, Seed: 1, Host: "127.0.0.1", Advice: true})
+	w, err := world.Start(world.Options{Halls: demoHalls, WorkersPerHall: 8, CPU: 16000, Mem: 32768, Seed: 1, Host: "127.0.0.1", Advice: true})
 	if err != nil {
 		return err
 	}
@@ -73,7 +73,7 @@
 		len(members), len(w.Workers), len(demoHalls), jobsPerSecond, length)
 	l.run(ctx, length, func() { restartMember(members[0]) })
 	l.report(w)
-	if broken := w.Book.Broken(); len(broken) > 0 {
+	if broken := w.Book.Violations(); len(broken) > 0 {
 		return errors.Errorf("the workers recorded violated rules: %s", strings.Join(broken, "; "))
 	}
 	if l.unfinished > 0 {
@@ -263,7 +263,7 @@
 	starts := w.Book.Starts()
 	ends := make(map[string]int)
 	for _, s := range starts {
-		ends[s.How]++
+		ends[s.Outcome]++
 	}
 	fmt.Println()
 	fmt.Printf("%-34s %d\n", "jobs done", len(l.latencies))
@@ -271,6 +271,6 @@
 	fmt.Printf("%-34s %d\n", "tries refused or without an answer", l.refused)
 	fmt.Printf("%-34s %s, %s, %s\n", "from handing in to shown: p50 p99 max", at(0.5), at(0.99), at(1))
 	fmt.Printf("%-34s %d, of them done %d\n", "runs started", len(starts), ends["done"])
-	fmt.Printf("%-34s %d\n", "questions to the policy", w.Policy.Asked())
-	fmt.Printf("%-34s %d\n", "promises broken", len(w.Book.Broken()))
+	fmt.Printf("%-34s %d\n", "questions to the policy", w.Policy.Requests())
+	fmt.Printf("%-34s %d\n", "promises broken", len(w.Book.Violations()))
 }
--- a/test/demo/main.go
+++ b/test/demo/main.go
@@ -90,7 +90,7 @@
 	fmt.Printf("starting %s: %d halls, %d workers, %d entry instances\n", d.Name, len(d.Halls),
 		len(d.Halls)*d.RacksPerHall*d.WorkersPerRack, perHall*len(d.Halls))
 	b, err := bed.Start(ctx, bed.Options{
-		Deployment: d, PerHall: perHall, Dir: dir,
+		Deployment: d, EntriesPerHall: perHall, Dir: dir,
 		Dewpass: filepath.Join(bin, "dewpass"), StandIn: filepath.Join(bin, "standin"),
 		Examples: filepath.Join(bin, "..", "examples"),
 	})
@@ -149,7 +149,7 @@
 	}
 	for _, r := range results {
 		if r.Wrong+r.Lost > 0 {
-			return errors.Errorf("%s: %d wrong, %d lost; first: %v", r.Stream.Workload, r.Wrong, r.Lost, r.First)
+			return errors.Errorf("%s: %d wrong, %d lost; first: %v", r.Stream.Workload, r.Wrong, r.Lost, r.FirstError)
 		}
 	}
 	return nil
@@ -161,7 +161,7 @@
 	var peak, anon int64
 	for i, u := range usages(b) {
 		cpu += u.CPU - before[i].CPU
-		peak = max(peak, u.PeakResideKiB)
+		peak = max(peak, u.PeakResidentKiB)
 		anon = max(anon, u.AnonymousKiB)
 	}
 	n := len(b.Entries)
--- a/test/load/run.go
+++ b/test/load/run.go
@@ -38,8 +38,8 @@
 type Result struct {
 	Stream Stream
 	Sent   int
-	// Whole counts calls with a correct answer and jobs that are done.
-	Whole int
+	// Succeeded counts calls with a correct answer and jobs that are done.
+	Succeeded int
 	// Refused counts, by kind, requests that failed and were not run.
 	Refused map[kind.Kind]int
 	// Unknown counts requests that failed and may have run.
@@ -48,8 +48,8 @@
 	Wrong int
 	// Lost counts jobs that were accepted and did not end as done.
 	Lost int
-	// First is the first error of a request that is unknown, wrong or lost.
-	First error
+	// FirstError is the first error of a request that is unknown, wrong or lost.
+	FirstError error
 	// Wait is the time before the work started, in microseconds: for a call
 	// its latency less the length of its run, for a job the time from its
 	// acceptance to its start.
@@ -186,7 +186,7 @@
 	r.finished++
 	switch {
 	case err == nil:
-		r.Whole++
+		r.Succeeded++
 		_ = r.Wait.RecordValue(min(max(wait.Microseconds(), 1), maxWaitUS))
 		return
 	case errors.Is(err, ErrWrong):
@@ -199,8 +199,8 @@
 	default:
 		r.Unknown++
 	}
-	if r.First == nil {
-		r.First = err
+	if r.FirstError == nil {
+		r.FirstError = err
 	}
 }
 
@@ -214,7 +214,7 @@
 			refused += n
 		}
 		fmt.Fprintf(w, "%-26s %7d %7d %8d %8d %6d %6d %10s %10s %10s%s\n",
-			r.Stream.Workload, r.Sent, r.Whole, refused, r.Unknown, r.Wrong, r.Lost,
+			r.Stream.Workload, r.Sent, r.Succeeded, refused, r.Unknown, r.Wrong, r.Lost,
 			micros(r.Wait.ValueAtQuantile(50)), micros(r.Wait.ValueAtQuantile(99)), micros(r.Wait.Max()), r.refusedKinds())
 	}
 }
--- a/test/load/track.go
+++ b/test/load/track.go
@@ -26,12 +26,12 @@
 
 	mu        sync.Mutex
 	rng       *rand.Rand
-	responses []Said
+	responses []Response
 	wg        sync.WaitGroup
 }
 
-// Said is the final response of dewpass to one request.
-type Said struct {
+// Response is the final response of dewpass to one request.
+type Response struct {
 	Item    Item
 	ID      string
 	Outcome string
@@ -42,14 +42,14 @@
 }
 
 // Outcomes of a request: those of kind.Outcome, and those of responses without an
-// error (Whole for a call, Accepted for a job) or with a wrong answer.
+// error (Answered for a call, Accepted for a job) or with a wrong answer.
 const (
-	Whole    = "whole"
+	Answered = "whole"
 	Accepted = "accepted"
 	NotRun   = "not_run"
 	Unknown  = "unknown"
 	Wrong    = "wrong"
-	Failed   = "ran"
+	Ran      = "ran"
 )
 
 func (t *Tracker) pick() *client.Client {
@@ -81,7 +81,7 @@
 }
 
 // Wait waits until every request has its final response, and returns them.
-func (t *Tracker) Wait() []Said {
+func (t *Tracker) Wait() []Response {
 	t.wg.Wait()
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -113,16 +113,16 @@
 	retryDelay = 500 * time.Millisecond
 )
 
-func (t *Tracker) attempt(ctx context.Context, it Item, isJob bool) Said {
+func (t *Tracker) attempt(ctx context.Context, it Item, isJob bool) Response {
 	c := t.pick()
 	began := time.Now()
-	resp := Said{Item: it}
+	resp := Response{Item: it}
 	if isJob {
 		row, err := Submit(ctx, c, it)
 		resp.ID, resp.Err, resp.Outcome = row.ID, err, Accepted
 	} else {
 		ans, err := Call(ctx, c, it)
-		resp.ID, resp.Err, resp.Outcome = ans.ID, err, Whole
+		resp.ID, resp.Err, resp.Outcome = ans.ID, err, Answered
 	}
 	resp.Took = time.Since(began)
 	if resp.Err != nil {
@@ -132,7 +132,7 @@
 }
 
 // classify sets the outcome of a request from its error.
-func (s *Said) classify() {
+func (s *Response) classify() {
 	if errors.Is(s.Err, ErrWrong) {
 		s.Outcome = Wrong
 		return
@@ -145,7 +145,7 @@
 // Verify compares the responses with the starts that the workers recorded, by the
 // callers' own tags, and returns every contradiction. It waits until accepted jobs
 // are over, and looks up requests whose outcome was unknown.
-func Verify(ctx context.Context, c *client.Client, responses []Said, starts func(tag string) int) []string {
+func Verify(ctx context.Context, c *client.Client, responses []Response, starts func(tag string) int) []string {
 	var mu sync.Mutex
 	var wrong []string
 	var wg sync.WaitGroup
@@ -167,7 +167,7 @@
 	return wrong
 }
 
-func verify(ctx context.Context, c *client.Client, s Said, starts func(string) int) string {
+func verify(ctx context.Context, c *client.Client, s Response, starts func(string) int) string {
 	tag := s.Item.Payload.Tag
 	switch s.Outcome {
 	case Wrong:
@@ -176,11 +176,11 @@
 		if n := starts(tag); n != 0 {
 			return fmt.Sprintf("reported as not_run, but started %d times", n)
 		}
-	case Whole:
+	case Answered:
 		if n := starts(tag); n < 1 {
 			return "answered, but never started"
 		}
-	case Accepted, Unknown, Failed:
+	case Accepted, Unknown, Ran:
 		return verifyEnd(ctx, c, s, starts)
 	}
 	return ""
@@ -188,7 +188,7 @@
 
 // verifyEnd verifies a request whose response did not tell its end: it waits for
 // the end and compares that with the starts.
-func verifyEnd(ctx context.Context, c *client.Client, s Said, starts func(string) int) string {
+func verifyEnd(ctx context.Context, c *client.Client, s Response, starts func(string) int) string {
 	if s.ID == "" || (s.Outcome == Unknown && s.Item.Key == "") {
 		// Repeatable calls have no row, and nothing is guaranteed for them.
 		return ""
--- a/test/measure/bed.go
+++ b/test/measure/bed.go
@@ -30,7 +30,7 @@
 	d := bed.Deployment{
 		Name: "measure", Capacity: workerSize,
 		RacksPerHall: s.racks, WorkersPerRack: s.workersPerRack,
-		FarPerHall: s.farPerHall, FarRacks: s.farRacks,
+		EntriesPerOtherHall: s.farPerHall, RacksPerOtherHall: s.farRacks,
 	}
 	for i := range s.halls {
 		d.Halls = append(d.Halls, fmt.Sprintf("hall-%d", i+1))
@@ -43,13 +43,13 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	d.Doc = doc
+	d.TreeDoc = doc
 	dir, err := os.MkdirTemp("", "dewpass-measure")
 	if err != nil {
 		return nil, nil, err
 	}
 	b, err := bed.Start(ctx, bed.Options{
-		Deployment: d, PerHall: s.perHall, Dir: dir,
+		Deployment: d, EntriesPerHall: s.perHall, Dir: dir,
 		Dewpass: siblingPath("dewpass"), StandIn: siblingPath("standin"),
 	})
 	if err != nil {
--- a/test/measure/waits.go
+++ b/test/measure/waits.go
@@ -43,7 +43,7 @@
 	}
 	defer os.RemoveAll(dir)
 	b, err := bed.Start(ctx, bed.Options{
-		Deployment: bed.Comhar, PerHall: 2, Dir: dir,
+		Deployment: bed.Comhar, EntriesPerHall: 2, Dir: dir,
 		Dewpass: siblingPath("dewpass"), StandIn: siblingPath("standin"), Examples: siblingPath("../examples"),
 	})
 	if err != nil {
--- a/test/proof/failure_test.go
+++ b/test/proof/failure_test.go
@@ -68,7 +68,7 @@
 			said := t.Wait()
 			verify(ctx, b, said)
 			for _, s := range said {
-				Expect(s.Outcome).To(BeElementOf(load.Whole, load.Accepted), "%s %s: %v", s.Item.Workload, s.ID, s.Err)
+				Expect(s.Outcome).To(BeElementOf(load.Answered, load.Accepted), "%s %s: %v", s.Item.Workload, s.ID, s.Err)
 			}
 			record, err := b.Record(ctx)
 			Expect(err).NotTo(HaveOccurred())
@@ -95,7 +95,7 @@
 		for _, s := range said {
 			switch s.Item.Workload {
 			case "tinting/shade-lookup", "tinting/formula-match":
-				Expect(s.Outcome).To(Equal(load.Whole), "%s: %v", s.Item.Workload, s.Err)
+				Expect(s.Outcome).To(Equal(load.Answered), "%s: %v", s.Item.Workload, s.Err)
 			default:
 				Expect(s.Outcome).To(Equal(load.NotRun), "%s: %v", s.Item.Workload, s.Err)
 				Expect(kind.Of(s.Err).RetryAfter).To(BeNumerically(">", 0))
@@ -114,7 +114,7 @@
 		}
 		// trace submits jobs until one is assigned to the rack, because the front
 		// chooses the rack.
-		trace := func(shop string) load.Said {
+		trace := func(shop string) load.Response {
 			GinkgoHelper()
 			for {
 				it := load.NewItem("tracing/trace", 25*time.Second)
@@ -122,11 +122,11 @@
 				row, err := load.Submit(ctx, other.Client(), it)
 				Expect(err).NotTo(HaveOccurred())
 				if row.Rack == rack {
-					return load.Said{Item: it, ID: row.ID, Outcome: load.Accepted}
+					return load.Response{Item: it, ID: row.ID, Outcome: load.Accepted}
 				}
 			}
 		}
-		running := func(c *client.Client, s load.Said) string {
+		running := func(c *client.Client, s load.Response) string {
 			GinkgoHelper()
 			var worker string
 			Eventually(func(g Gomega) {
@@ -144,7 +144,7 @@
 		// one of a service or of a job on another of its racks.
 		const stopped = "second-depot"
 		stop := rule{Point: "sent", Worker: rack + "-", Shop: stopped, Stop: true, DelayMS: 500}
-		Expect(owner.Faults(ctx, []rule{stop})).To(Succeed())
+		Expect(owner.SetFaultRules(ctx, []rule{stop})).To(Succeed())
 		second := trace(stopped)
 		Eventually(func() error {
 			short, cancel := context.WithTimeout(ctx, 300*time.Millisecond)
@@ -152,11 +152,11 @@
 			return owner.Client().Do(short, http.MethodGet, "/healthz", nil, nil)
 		}).ShouldNot(Succeed(), "the owner must be paused")
 		// Keeps the next owner from choosing the same worker again.
-		Expect(b.Worker(ctx, packed, "leave")).To(Succeed())
+		Expect(b.WorkerEvent(ctx, packed, "leave")).To(Succeed())
 		Expect(running(other.Client(), second)).NotTo(Equal(packed))
-		Expect(b.Worker(ctx, packed, "return")).To(Succeed())
+		Expect(b.WorkerEvent(ctx, packed, "return")).To(Succeed())
 		owner.Thaw()
-		verify(ctx, b, []load.Said{first, second})
+		verify(ctx, b, []load.Response{first, second})
 		starts, err := b.Starts(ctx)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(starts[second.Item.Payload.Tag]).To(Equal(1))
@@ -210,13 +210,13 @@
 		clearFaults(ctx, b)
 		lookups := 0
 		for _, s := range said {
-			if s.Item.Workload == "tinting/shade-lookup" && s.Outcome == load.Whole {
+			if s.Item.Workload == "tinting/shade-lookup" && s.Outcome == load.Answered {
 				lookups++
 			}
 		}
 		Expect(lookups).To(BeNumerically(">", 100), "a hall that is cut off must serve lookups")
 		for _, s := range outside {
-			Expect(s.Outcome).To(BeElementOf(load.Whole, load.Accepted), "%s: %v", s.Item.Workload, s.Err)
+			Expect(s.Outcome).To(BeElementOf(load.Answered, load.Accepted), "%s: %v", s.Item.Workload, s.Err)
 		}
 		Expect(b.AwaitReady(ctx)).To(Succeed())
 		verify(ctx, b, append(said, outside...))
@@ -226,11 +226,11 @@
 		b := startBed(ctx, bed.Comhar, 2)
 		openWindows(ctx, b)
 		for _, w := range b.Config.Workers {
-			Expect(b.Fault(ctx, "worker/"+w.ID, standin.Faults{CutEvery: 5, CrossEvery: 7, LoseEvery: 11})).To(Succeed())
+			Expect(b.SetFaults(ctx, "worker/"+w.ID, standin.Faults{CutEvery: 5, CrossEvery: 7, LoseEvery: 11})).To(Succeed())
 		}
 		said := runUnderLoad(ctx, b, 6*time.Second, func() {})
 		Expect(countOutcomes(said)[load.Wrong]).To(BeZero())
-		Expect(countOutcomes(said)[load.Whole]).To(BeNumerically(">", len(said)/2))
+		Expect(countOutcomes(said)[load.Answered]).To(BeNumerically(">", len(said)/2))
 	}, SpecTimeout(specTimeout))
 
 	It("takes over the work of workers that crash, and repeats none that must not be repeated", func(ctx context.Context) {
@@ -242,10 +242,10 @@
 					continue
 				}
 				time.Sleep(300 * time.Millisecond)
-				Expect(b.Worker(ctx, w.ID, "crash")).To(Succeed())
+				Expect(b.WorkerEvent(ctx, w.ID, "crash")).To(Succeed())
 				if i%12 == 0 {
 					time.Sleep(time.Second)
-					Expect(b.Worker(ctx, w.ID, "restart")).To(Succeed())
+					Expect(b.WorkerEvent(ctx, w.ID, "restart")).To(Succeed())
 				}
 			}
 		})
@@ -257,7 +257,7 @@
 		row, err := load.Get(ctx, b.Balancer, said[0].ID)
 		Expect(err).NotTo(HaveOccurred())
 		owner := ownerOf(ctx, b, row.Rack)
-		Expect(b.Worker(ctx, row.Worker, "crash")).To(Succeed())
+		Expect(b.WorkerEvent(ctx, row.Worker, "crash")).To(Succeed())
 		owner.Kill()
 		verify(ctx, b, said)
 	}, SpecTimeout(specTimeout))
@@ -267,7 +267,7 @@
 		said := submitAt(ctx, b, "kutaisi-a", 6, 6*time.Second)
 		for _, w := range b.Config.Workers {
 			if w.Rack == "kutaisi-a-r1" {
-				Expect(b.Worker(ctx, w.ID, "crash")).To(Succeed())
+				Expect(b.WorkerEvent(ctx, w.ID, "crash")).To(Succeed())
 			}
 		}
 		verify(ctx, b, said)
@@ -280,7 +280,7 @@
 			time.Sleep(2 * time.Second)
 			for i, w := range b.Config.Workers {
 				if i%3 == 0 {
-					Expect(b.Worker(ctx, w.ID, "leave")).To(Succeed())
+					Expect(b.WorkerEvent(ctx, w.ID, "leave")).To(Succeed())
 				}
 			}
 		})
@@ -289,16 +289,16 @@
 	It("tolerates a table that is slow, is limited in its rate, and loses answers", func(ctx context.Context) {
 		b := startBed(ctx, bed.Kartvela, 2)
 		openWindows(ctx, b)
-		Expect(b.Fault(ctx, "table", standin.Faults{DelayMS: 60, PerSecond: 60, LoseEvery: 4})).To(Succeed())
+		Expect(b.SetFaults(ctx, "table", standin.Faults{DelayMS: 60, PerSecond: 60, LoseEvery: 4})).To(Succeed())
 		runUnderLoad(ctx, b, 8*time.Second, func() {})
-		Expect(b.Fault(ctx, "table", standin.Faults{})).To(Succeed())
+		Expect(b.SetFaults(ctx, "table", standin.Faults{})).To(Succeed())
 	}, SpecTimeout(specTimeout))
 })
 
 func setPlatform(ctx context.Context, b *bed.Bed, f standin.Faults) {
 	GinkgoHelper()
 	for _, what := range []string{"table", "objects", "instances"} {
-		Expect(b.Fault(ctx, what, f)).To(Succeed())
+		Expect(b.SetFaults(ctx, what, f)).To(Succeed())
 	}
 }
 
@@ -331,7 +331,7 @@
 			rules = append(rules, rule{Addr: "platform", Cut: true})
 			inside = append(inside, p.Client())
 		}
-		Expect(p.Faults(ctx, rules)).To(Succeed())
+		Expect(p.SetFaultRules(ctx, rules)).To(Succeed())
 	}
 	return inside
 }
@@ -341,7 +341,7 @@
 	GinkgoHelper()
 	for _, p := range b.Entries {
 		if p.Running() {
-			Eventually(func() error { return p.Faults(ctx, []rule{}) }).Should(Succeed())
+			Eventually(func() error { return p.SetFaultRules(ctx, []rule{}) }).Should(Succeed())
 		}
 	}
 }
--- a/test/proof/harness_test.go
+++ b/test/proof/harness_test.go
@@ -34,7 +34,7 @@
 
 // runUnderLoad sends the mix of a deployment for the given length while f injects failures,
 // and then checks every answer against the workers' record.
-func runUnderLoad(ctx context.Context, b *bed.Bed, length time.Duration, f func()) []load.Said {
+func runUnderLoad(ctx context.Context, b *bed.Bed, length time.Duration, f func()) []load.Response {
 	t := &load.Tracker{Clients: b.Clients(), Seed: uint64(GinkgoRandomSeed())}
 	for _, s := range mixes[b.Deployment.Name] {
 		t.Send(ctx, s, length)
@@ -45,7 +45,7 @@
 	return said
 }
 
-func verify(ctx context.Context, b *bed.Bed, said []load.Said) {
+func verify(ctx context.Context, b *bed.Bed, said []load.Response) {
 	GinkgoHelper()
 	ctx, cancel := context.WithTimeout(ctx, settleTimeout)
 	defer cancel()
@@ -67,7 +67,7 @@
 }
 
 // countOutcomes counts the answers by outcome.
-func countOutcomes(said []load.Said) map[string]int {
+func countOutcomes(said []load.Response) map[string]int {
 	out := make(map[string]int)
 	for _, s := range said {
 		what := s.Outcome
--- a/test/proof/lost_test.go
+++ b/test/proof/lost_test.go
@@ -39,9 +39,9 @@
 						rules = append(rules, rule{Addr: w.Addr, Deaf: true})
 					}
 				}
-				Expect(p.Faults(ctx, rules)).To(Succeed())
+				Expect(p.SetFaultRules(ctx, rules)).To(Succeed())
 				time.Sleep(1500 * time.Millisecond)
-				Expect(p.Faults(ctx, []rule{})).To(Succeed())
+				Expect(p.SetFaultRules(ctx, []rule{})).To(Succeed())
 			}
 		})
 	}, SpecTimeout(specTimeout))
@@ -53,11 +53,11 @@
 		stream := load.Stream{Workload: "tracing/trace", PerSecond: 8, Runs: time.Second, Job: true, Bytes: oversizedAnswer, Save: 300 * time.Millisecond}
 		t.Send(ctx, stream, 9*time.Second)
 		for _, f := range []standin.Faults{{Down: true}, {DelayMS: 150, PerSecond: 20}, {LoseEvery: 2}} {
-			Expect(b.Fault(ctx, "objects", f)).To(Succeed())
+			Expect(b.SetFaults(ctx, "objects", f)).To(Succeed())
 			time.Sleep(3 * time.Second)
 		}
 		said := t.Wait()
-		Expect(b.Fault(ctx, "objects", standin.Faults{})).To(Succeed())
+		Expect(b.SetFaults(ctx, "objects", standin.Faults{})).To(Succeed())
 		for _, s := range said {
 			Expect(s.Outcome).To(Equal(load.Accepted), "%v", s.Err)
 		}
@@ -76,10 +76,10 @@
 		GinkgoHelper()
 		rates := []float64{fast, slow}
 		for i, p := range b.Entries {
-			Expect(p.Faults(ctx, []rule{{Rate: rates[i%2]}})).To(Succeed())
+			Expect(p.SetFaultRules(ctx, []rule{{Rate: rates[i%2]}})).To(Succeed())
 		}
 		for i, w := range b.Config.Workers {
-			Expect(b.Fault(ctx, "worker/"+w.ID, standin.Faults{ClockRate: rates[(i+1)%2]})).To(Succeed())
+			Expect(b.SetFaults(ctx, "worker/"+w.ID, standin.Faults{ClockRate: rates[(i+1)%2]})).To(Succeed())
 		}
 	}
 
@@ -106,14 +106,14 @@
 			byWorker[row.Worker] = true
 		}
 		for worker := range byWorker {
-			Expect(b.Fault(ctx, "worker/"+worker, standin.Faults{ClockRate: slow})).To(Succeed())
+			Expect(b.SetFaults(ctx, "worker/"+worker, standin.Faults{ClockRate: slow})).To(Succeed())
 		}
 		for _, p := range b.Entries {
 			rules := []rule{{Rate: fast}}
 			for worker := range byWorker {
 				rules = append(rules, rule{Addr: "worker/" + worker, Cut: true})
 			}
-			Expect(p.Faults(ctx, rules)).To(Succeed())
+			Expect(p.SetFaultRules(ctx, rules)).To(Succeed())
 		}
 		starts := func() int {
 			tags, err := b.Starts(ctx)
@@ -140,15 +140,15 @@
 					continue
 				}
 				// A live worker disappears from the list, and an unknown one appears.
-				Expect(b.Unlist(ctx, w.ID)).To(Succeed())
+				Expect(b.UnlistInstance(ctx, w.ID)).To(Succeed())
 				stranger := ports.Instance{ID: "stranger-" + w.ID, Role: ports.RoleWorker, Hall: w.Hall, Rack: w.Rack, Addr: "127.0.0.1:9"}
-				Expect(b.List(ctx, stranger)).To(Succeed())
+				Expect(b.ListInstance(ctx, stranger)).To(Succeed())
 			}
 			time.Sleep(5 * time.Second)
 			for i, w := range b.Config.Workers {
 				if i%5 == 0 {
-					Expect(b.Unlist(ctx, "stranger-"+w.ID)).To(Succeed())
-					Expect(b.List(ctx, w.Instance())).To(Succeed())
+					Expect(b.UnlistInstance(ctx, "stranger-"+w.ID)).To(Succeed())
+					Expect(b.ListInstance(ctx, w.Instance())).To(Succeed())
 				}
 			}
 		})
--- a/test/proof/matrix_test.go
+++ b/test/proof/matrix_test.go
@@ -175,7 +175,7 @@
 		return false, []string{err.Error()}
 	}
 	b, err := bed.Start(ctx, bed.Options{
-		Deployment: cellDeployment, PerHall: 2, Dir: dir, TaskLease: taskLease, Debug: true,
+		Deployment: cellDeployment, EntriesPerHall: 2, Dir: dir, TaskLease: taskLease, Debug: true,
 		Dewpass: binaries + "/dewpass", StandIn: binaries + "/standin", Examples: "../../examples",
 	})
 	if err != nil {
@@ -279,7 +279,7 @@
 	default:
 		step.DelayMS = stepDelay.Milliseconds()
 	}
-	if r.target.Faults(ctx, []rule{step}) != nil {
+	if r.target.SetFaultRules(ctx, []rule{step}) != nil {
 		return
 	}
 	if r.takeover() {
@@ -359,23 +359,23 @@
 
 // withServiceFaults applies faults to a service of the platform for the time of an outage.
 func (r *cellRun) withServiceFaults(ctx context.Context, what string, f standin.Faults) {
-	_ = r.b.Fault(ctx, what, f)
+	_ = r.b.SetFaults(ctx, what, f)
 	time.Sleep(outage)
-	_ = r.b.Fault(ctx, what, standin.Faults{})
+	_ = r.b.SetFaults(ctx, what, standin.Faults{})
 }
 
 // withWorkerEvent triggers the event begin at a worker, and end after the time of an outage.
 func (r *cellRun) withWorkerEvent(ctx context.Context, id, begin, end string) {
-	_ = r.b.Worker(ctx, id, begin)
+	_ = r.b.WorkerEvent(ctx, id, begin)
 	time.Sleep(outage)
-	_ = r.b.Worker(ctx, id, end)
+	_ = r.b.WorkerEvent(ctx, id, end)
 }
 
 // withFaultRule sets a fault rule at the target for the time of an outage.
 func (r *cellRun) withFaultRule(ctx context.Context, added rule) {
-	_ = r.target.Faults(ctx, []rule{added})
+	_ = r.target.SetFaultRules(ctx, []rule{added})
 	time.Sleep(outage)
-	_ = r.target.Faults(ctx, []rule{})
+	_ = r.target.SetFaultRules(ctx, []rule{})
 }
 
 // editRepeatedly edits the tree at the editor until the context ends.
@@ -430,7 +430,7 @@
 }
 
 // check compares the answers with the records of the workers and of the table.
-func (r *cellRun) check(ctx context.Context, said []load.Said) []string {
+func (r *cellRun) check(ctx context.Context, said []load.Response) []string {
 	starts := func(tag string) int {
 		tags, err := r.b.Starts(ctx)
 		if err != nil {
--- a/test/proof/rules_test.go
+++ b/test/proof/rules_test.go
@@ -35,9 +35,9 @@
 
 // submitAt submits n long tracing jobs to each instance of a hall and waits until they
 // run.
-func submitAt(ctx context.Context, b *bed.Bed, hall string, n int, runs time.Duration) []load.Said {
+func submitAt(ctx context.Context, b *bed.Bed, hall string, n int, runs time.Duration) []load.Response {
 	GinkgoHelper()
-	var said []load.Said
+	var said []load.Response
 	for _, p := range b.Entries {
 		if p.Addr.Hall != hall {
 			continue
@@ -48,7 +48,7 @@
 			row, err := load.Submit(ctx, p.Client(), it)
 			Expect(err).NotTo(HaveOccurred())
 			Expect(row.Hall).To(Equal(hall))
-			said = append(said, load.Said{Item: it, ID: row.ID, Outcome: load.Accepted})
+			said = append(said, load.Response{Item: it, ID: row.ID, Outcome: load.Accepted})
 		}
 	}
 	Eventually(func(g Gomega) {
@@ -62,7 +62,7 @@
 }
 
 var _ = Describe("the rules for a hall that is cut off", func() {
-	halls := func(ctx context.Context, b *bed.Bed, said []load.Said) map[string]int {
+	halls := func(ctx context.Context, b *bed.Bed, said []load.Response) map[string]int {
 		out := make(map[string]int)
 		for _, s := range said {
 			row, err := load.Get(ctx, b.Entries[len(b.Entries)-1].Client(), s.ID)
@@ -108,7 +108,7 @@
 		}
 		for _, w := range b.Config.Workers {
 			if w.Hall == "kutaisi-a" {
-				Expect(b.Worker(ctx, w.ID, "crash")).To(Succeed())
+				Expect(b.WorkerEvent(ctx, w.ID, "crash")).To(Succeed())
 			}
 		}
 		other := b.Entries[len(b.Entries)-1].Client()
@@ -149,7 +149,7 @@
 var _ = Describe("the tree of settings", func() {
 	It("is linearizable for concurrent operators while answers are lost and instances fail", func(ctx context.Context) {
 		b := startBed(ctx, bed.Comhar, 2)
-		Expect(b.Fault(ctx, "table", standin.Faults{LoseEvery: 7})).To(Succeed())
+		Expect(b.SetFaults(ctx, "table", standin.Faults{LoseEvery: 7})).To(Succeed())
 		var mu sync.Mutex
 		var history []porcupine.Operation
 		began := time.Now()
@@ -279,7 +279,7 @@
 		t.Send(ctx, load.Stream{Workload: "vans/parcel-assignment", PerSecond: 15, Runs: 50 * time.Millisecond, Once: true}, 20*time.Second)
 		time.Sleep(2 * time.Second)
 		By("the table losing answers of assignments")
-		Expect(b.Fault(ctx, "table", standin.Faults{LoseEvery: 3})).To(Succeed())
+		Expect(b.SetFaults(ctx, "table", standin.Faults{LoseEvery: 3})).To(Succeed())
 		time.Sleep(2 * time.Second)
 		By("an instance pausing while it holds a rack, and carrying on")
 		b.Entries[0].Freeze()
@@ -287,7 +287,7 @@
 		b.Entries[0].Thaw()
 		By("the platform going away, and a worker dying meanwhile")
 		setPlatform(ctx, b, standin.Faults{Down: true})
-		Expect(b.Worker(ctx, b.Config.Workers[20].ID, "crash")).To(Succeed())
+		Expect(b.WorkerEvent(ctx, b.Config.Workers[20].ID, "crash")).To(Succeed())
 		time.Sleep(3 * time.Second)
 		setPlatform(ctx, b, standin.Faults{})
 		By("another instance dying for good")
--- a/test/proof/suite_test.go
+++ b/test/proof/suite_test.go
@@ -57,7 +57,7 @@
 	dir, err := os.MkdirTemp("", "dewpass-bed")
 	Expect(err).NotTo(HaveOccurred())
 	options := bed.Options{
-		Deployment: d, PerHall: perHall, Dir: dir, TaskLease: taskLease, Debug: true,
+		Deployment: d, EntriesPerHall: perHall, Dir: dir, TaskLease: taskLease, Debug: true,
 		Dewpass:  filepath.Join(binaries, "dewpass"),
 		StandIn:  filepath.Join(binaries, "standin"),
 		Examples: "../../examples",
--- a/test/standin/main.go
+++ b/test/standin/main.go
@@ -32,7 +32,7 @@
 	if err != nil {
 		return err
 	}
-	var c bed.StandIn
+	var c bed.StandInConfig
 	if err := json.Unmarshal(raw, &c); err != nil {
 		return err
 	}
@@ -66,7 +66,7 @@
 	return nil
 }
 
-func balance(c bed.StandIn) error {
+func balance(c bed.StandInConfig) error {
 	l, err := net.Listen("tcp", c.Balancer)
 	if err != nil {
 		return err
--- a/tree/tree_test.go
+++ b/tree/tree_test.go
@@ -182,7 +182,7 @@
 	It("commits an edit once if the table's reply is lost", func(ctx context.Context) {
 		lost := 0
 		table.Set(func(l *standin.Local) {
-			l.After = func(ports.Txn) error {
+			l.AfterCommit = func(ports.Txn) error {
 				lost++
 				if lost == 1 {
 					return kind.New(kind.Lost, "test")
