--- a/internal/standin/world/machines.go
+++ b/internal/standin/world/machines.go
@@ -93,8 +93,8 @@
 	MaxItems int      `json:"max_items"`
 }
 
-// PutWave writes an upkeep wave into the store: it names the machines, how many of them may be down at a
-// time, and how long the wave may take.
+// PutWave writes an upkeep wave into the store: it names the machines, how many of them may be down
+// at a time, and how long the wave may take.
 func (w *World) PutWave(number, maxDown int, within time.Duration, machines []string) {
 	w.Store.Put("op", fmt.Sprintf("wave/%d", number), waveOrder{
 		Wave: number, Machines: machines, Duration: int(within.Seconds()), MaxItems: maxDown,
--- a/internal/standin/world/worker.go
+++ b/internal/standin/world/worker.go
@@ -88,7 +88,7 @@
 	ends        []end
 	lastEnd     int
 	observedEnd int
-	// reportedEnd holds the number of the latest end that was reported to each owner, by the owner's epoch.
+	// reportedEnd holds, by the epoch of each owner, the number of the latest end reported to it.
 	reportedEnd map[uint64]int
 	// highestRun holds the highest run of each task that was stopped or ended here.
 	highestRun map[string]int
--- a/test/bed/deployment.go
+++ b/test/bed/deployment.go
@@ -12,11 +12,11 @@
 	// RacksPerHall and WorkersPerRack give the number of workers; each has Capacity.
 	RacksPerHall   int
 	WorkersPerRack int
-	// EntriesPerOtherHall and FarRacks are the numbers of entry instances and racks in
-	// each hall but the first; 0 means the same number as in the first.
+	// EntriesPerOtherHall and RacksPerOtherHall are the numbers of entry instances
+	// and racks in each hall but the first; 0 means the same number as in the first.
 	EntriesPerOtherHall int
 	RacksPerOtherHall   int
-	// Tree is the file of the example tree; Doc, if set, is used in its place.
+	// Tree is the file of the example tree; TreeDoc, if set, is used in its place.
 	Tree    string
 	TreeDoc []byte
 }
