--- a/cell/place.go
+++ b/cell/place.go
@@ -382,24 +382,24 @@
 // sendSize returns the approximate number of bytes that a start takes of this instance's link.
 func (c *Cell) sendSize(start *Start) int {
 	if c.textShared {
-		return start.CarriedSize()
+		return start.RelayedSize()
 	}
 	return start.Size()
 }
 
 const (
-	// carriedOverheadBytes is the approximate size, without its texts, of an order in a message to
-	// the instance that carries it.
-	carriedOverheadBytes = 100
+	// relayedOverheadBytes is the approximate size, without its texts, of an order in a message to
+	// the instance that relays it.
+	relayedOverheadBytes = 100
 	// startsPerText is the number of starts that share one copy of a text sent to an instance: the
-	// average number of tasks of a job, divided among the few instances that carry them.
+	// average number of tasks of a job, divided among the few instances that relay them.
 	startsPerText = 8
 )
 
-// CarriedSize returns the approximate size, in bytes, of the order in a message to another instance
-// that carries it.
-func (s *Start) CarriedSize() int {
-	return carriedOverheadBytes + len(s.Text)/startsPerText + len(s.Checkpoint) + len(s.Ticket)
+// RelayedSize returns the approximate size, in bytes, of the order in a message to another instance
+// that relays it.
+func (s *Start) RelayedSize() int {
+	return relayedOverheadBytes + len(s.Text)/startsPerText + len(s.Checkpoint) + len(s.Ticket)
 }
 
 // SetSendBudget sets how many bytes the orders of the next decision may take, and whether the
--- a/cluster/own.go
+++ b/cluster/own.go
@@ -45,7 +45,7 @@
 		WorkerLease: t.lease, MaxWorkerLease: time.Duration(n.settings.Cluster.LeaseMost), Retention: t.keep, FormerGrace: former,
 		LinkRate: n.settings.Cluster.LinkRate(),
 		Claim:    c, Store: n.storeClient, StoreReachable: n.storeClient.Reachable,
-		Workers: n.Workers, Carriers: relays{n}, Directory: n.Directory(n.storeClient),
+		Workers: n.Workers, Relays: relays{n}, Directory: n.Directory(n.storeClient),
 		Advise: n.advise, AskLimit: n.adviceConcurrency, HeardByAll: func() bool { return n.answeredByAll(c.LastWrite()) }, ReportedSuccesses: n.successes.all,
 		OnLeaseLost:   func() { n.dropDriver(name, d) },
 		OnLoadTimeout: func() { n.giveUpCell(name, d, c) },
--- a/cluster/carry.go
+++ b/cluster/relay.go
@@ -17,15 +17,15 @@
 )
 
 // relays sends orders through other instances: those of the workers' hall that have the fewest orders
-// in progress. It implements driver.Carriers.
+// in progress. It implements driver.Relays.
 type relays struct{ n *Instance }
 
-// Ready implements driver.Carriers. The orders of an owner that does not reach the store itself are
+// Ready implements driver.Relays. The orders of an owner that does not reach the store itself are
 // not relayed. Such an owner does not learn from the store that a worker leaves or that a job was
 // cancelled, and relays that do reach it would carry out its outdated orders.
 func (s relays) Ready() bool { return s.n.storeClient.DirectlyReachable() }
 
-// Starts implements driver.Carriers.
+// Starts implements driver.Relays.
 func (s relays) Starts(ctx context.Context, hall string, orders []driver.StartOrder, limit time.Duration) ([]driver.StartResult, error) {
 	job := orders[0].Task.Job
 	by, hasText := s.n.startRelay(hall, job, len(orders))
@@ -118,7 +118,7 @@
 	return out
 }
 
-// Hold implements driver.Carriers.
+// Hold implements driver.Relays.
 func (s relays) Hold(ctx context.Context, hall string, o driver.HoldOrder, limit time.Duration) (driver.HoldAnswer, bool, error) {
 	by := s.n.relayFor(hall)
 	if by == nil {
--- a/driver/driver.go
+++ b/driver/driver.go
@@ -42,9 +42,9 @@
 	Store          rows.Store
 	StoreReachable func() bool
 	Workers        Workers
-	// Carriers send orders on behalf of this instance when its own link is saturated. It may be
+	// Relays send orders on behalf of this instance when its own link is saturated. It may be
 	// nil.
-	Carriers  Carriers
+	Relays    Relays
 	Directory Directory
 	// LinkRate is the capacity of this instance's network link in bytes per second, 0 if unknown.
 	LinkRate int
@@ -142,8 +142,8 @@
 	}
 	d.cell.Name = c.Name
 	d.startWindow.Rate = d.LinkRate
-	if d.Carriers == nil {
-		d.Carriers = noCarriers{}
+	if d.Relays == nil {
+		d.Relays = noRelays{}
 	}
 	d.ctx, d.cancel = context.WithCancel(context.Background())
 	return d
@@ -394,10 +394,10 @@
 	if d.cell.SendLimited() {
 		d.throttledAt = now
 	}
-	carried := d.carrying(now)
-	d.cell.SetSendBudget(d.startWindow.Free(), carried)
+	relayed := d.relaying(now)
+	d.cell.SetSendBudget(d.startWindow.Free(), relayed)
 	a := d.cell.Place(now, clock.Wall(), d.AskLimit())
-	d.sendStarts(a.Starts, carried)
+	d.sendStarts(a.Starts, relayed)
 	for i := range a.Stops {
 		d.sendStop(a.Stops[i])
 	}
--- a/driver/hold.go
+++ b/driver/hold.go
@@ -59,8 +59,8 @@
 		o.EndsOnly = now.Sub(l.listedAt) < o.Wait
 	}
 	limit := d.orderTimeout(l, now)
-	// If a carrier gets no answer from the worker, the hold is sent directly as well.
-	send := pendingHold{HoldOrder: o, sent: now, limit: limit, carried: !attach && d.carrying(now), attach: attach, hall: l.hall, born: l.born}
+	// If a relay gets no answer from the worker, the hold is sent directly as well.
+	send := pendingHold{HoldOrder: o, sent: now, limit: limit, relayed: !attach && d.relaying(now), attach: attach, hall: l.hall, born: l.born}
 	waitCtx, abandon := context.WithCancel(ctx)
 	defer abandon()
 	l.rehold = abandon
@@ -77,7 +77,7 @@
 	HoldOrder
 	sent            time.Time
 	limit           time.Duration
-	carried, attach bool
+	relayed, attach bool
 	// hall is the worker's hall when the hold was sent; that of the link may change meanwhile.
 	hall string
 	// born identifies the worker's known life; 0 if it is unknown or the worker does not report it.
@@ -138,15 +138,15 @@
 	maxHoldWait  = 2 * time.Second
 )
 
-// sendHold sends a hold, through a carrier if carried is set. If the carrier gets no answer it is
+// sendHold sends a hold, through a relay if relayed is set. If the relay gets no answer it is
 // sent again directly: a hold may be delivered twice.
 func (d *Driver) sendHold(ctx context.Context, h pendingHold) (HoldAnswer, error) {
 	o := h.HoldOrder
-	if h.carried {
-		within, cancel := withAnswerTimeout(ctx, o.Wait+h.limit+carryOverhead)
-		a, done, err := d.Carriers.Hold(within, h.hall, o, h.limit)
+	if h.relayed {
+		within, cancel := withAnswerTimeout(ctx, o.Wait+h.limit+relayOverhead)
+		a, done, err := d.Relays.Hold(within, h.hall, o, h.limit)
 		cancel()
-		// Carriers of earlier versions omit which life has answered.
+		// Relays of earlier versions omit which life has answered.
 		done = done && (err != nil || a.Lists.Born != 0 || h.born == 0)
 		if done || ctx.Err() != nil {
 			return a, err
--- a/driver/life_test.go
+++ b/driver/life_test.go
@@ -324,20 +324,20 @@
 		Expect(next.links["w"].born).To(Equal(int64(bornBefore)))
 	})
 
-	ginkgo.It("is held directly if a carrier does not say which life has answered", func(ctx context.Context) {
+	ginkgo.It("is held directly if a relay does not say which life has answered", func(ctx context.Context) {
 		d := newDriver(ctx, newMemStore(), func() {})
 		defer d.Close()
 		w := newRestartingWorker()
-		d.Workers, d.Carriers = w, carriersWithoutBorn{}
-		a, err := d.sendHold(ctx, pendingHold{HoldOrder: HoldOrder{Target: Target{Worker: "w", Addr: "a"}}, hall: "h", limit: time.Second, carried: true, born: bornBefore})
+		d.Workers, d.Relays = w, relaysWithoutBorn{}
+		a, err := d.sendHold(ctx, pendingHold{HoldOrder: HoldOrder{Target: Target{Worker: "w", Addr: "a"}}, hall: "h", limit: time.Second, relayed: true, born: bornBefore})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(a.Lists.Born).To(Equal(int64(bornBefore)))
 	})
 })
 
-// carriersWithoutBorn are Carriers whose answers do not say which life has answered.
-type carriersWithoutBorn struct{ noCarriers }
+// relaysWithoutBorn are Relays whose answers do not say which life has answered.
+type relaysWithoutBorn struct{ noRelays }
 
-func (carriersWithoutBorn) Hold(context.Context, string, HoldOrder, time.Duration) (HoldAnswer, bool, error) {
+func (relaysWithoutBorn) Hold(context.Context, string, HoldOrder, time.Duration) (HoldAnswer, bool, error) {
 	return HoldAnswer{ClockMS: 1}, true, nil
 }
--- a/driver/ports.go
+++ b/driver/ports.go
@@ -64,7 +64,7 @@
 	LeaseUntilMS int64
 	// Wait is how long the worker may wait for a run to end before it answers.
 	Wait time.Duration
-	// EndsOnly asks for the ended runs only, if there are any. Only carriers act on it: a worker
+	// EndsOnly asks for the ended runs only, if there are any. Only relays act on it: a worker
 	// always lists everything.
 	EndsOnly bool
 }
--- a/driver/carry.go
+++ b/driver/relay.go
@@ -21,22 +21,22 @@
 // specification of its job, so the orders of a wide step take many times the traffic of the
 // decision: 155 starts per second of 1 KB each fill more than two thirds of a 2 Mbit/s link, next
 // to everything else that an owner sends. While orders are held back, another instance in the
-// workers' hall (a carrier) receives the specification once and sends the orders for a few workers.
-// They bear the owner's fences: an order whose carrier fails is simply an order without an answer.
+// workers' hall (a relay) receives the specification once and sends the orders for a few workers.
+// They bear the owner's fences: an order whose relay fails is simply an order without an answer.
 
 const (
-	// carryPeriod is for how long orders are carried after some were last held back. It exceeds the
+	// relayPeriod is for how long orders are relayed after some were last held back. It exceeds the
 	// gaps between the steps of a load that causes throttling.
-	carryPeriod = 2 * time.Second
-	// maxCarryBatch is how many orders a carrier gets at once: 16 KB at 1 KB each, 64 ms of a
-	// carrier's 2 Mbit/s link, and few enough that the loss of a carrier affects few workers.
-	maxCarryBatch = 16
-	// carryOverhead is the extra time for an answer through a carrier: a round trip between halls
+	relayPeriod = 2 * time.Second
+	// maxRelayBatch is how many orders a relay gets at once: 16 KB at 1 KB each, 64 ms of a
+	// relay's 2 Mbit/s link, and few enough that the loss of a relay affects few workers.
+	maxRelayBatch = 16
+	// relayOverhead is the extra time for an answer through a relay: a round trip between halls
 	// plus scheduling delays at both ends.
-	carryOverhead = 100 * time.Millisecond
+	relayOverhead = 100 * time.Millisecond
 )
 
-// StartResult is the result of a StartOrder sent by a carrier.
+// StartResult is the result of a StartOrder sent by a relay.
 type StartResult struct {
 	Answer StartAnswer
 	Err    error
@@ -44,30 +44,30 @@
 	Took time.Duration
 }
 
-// Carriers are instances that send orders on behalf of this one.
-type Carriers interface {
-	// Ready reports whether carriers are available.
+// Relays are instances that send orders on behalf of this one.
+type Relays interface {
+	// Ready reports whether relays are available.
 	Ready() bool
 	// Starts has an instance in hall send orders to start runs of one step, waiting up to limit for
 	// each answer, and returns the results in the order of orders. It returns an error of kind
 	// Unavailable if certainly none was sent.
 	Starts(ctx context.Context, hall string, orders []StartOrder, limit time.Duration) ([]StartResult, error)
 	// Hold has an instance in hall send a hold order to a worker and wait for the answer up to
-	// limit beyond the order's wait. carried is false if no instance returned the worker's answer
+	// limit beyond the order's wait. relayed is false if no instance returned the worker's answer
 	// or reported that there was none.
-	Hold(ctx context.Context, hall string, o HoldOrder, limit time.Duration) (a HoldAnswer, carried bool, err error)
+	Hold(ctx context.Context, hall string, o HoldOrder, limit time.Duration) (a HoldAnswer, relayed bool, err error)
 }
 
-// noCarriers is used when no Carriers are configured.
-type noCarriers struct{}
+// noRelays is used when no Relays are configured.
+type noRelays struct{}
 
-func (noCarriers) Ready() bool { return false }
+func (noRelays) Ready() bool { return false }
 
-func (noCarriers) Starts(context.Context, string, []StartOrder, time.Duration) ([]StartResult, error) {
-	return nil, kind.New(kind.Unavailable, "no carriers configured")
+func (noRelays) Starts(context.Context, string, []StartOrder, time.Duration) ([]StartResult, error) {
+	return nil, kind.New(kind.Unavailable, "no relays configured")
 }
 
-func (noCarriers) Hold(context.Context, string, HoldOrder, time.Duration) (HoldAnswer, bool, error) {
+func (noRelays) Hold(context.Context, string, HoldOrder, time.Duration) (HoldAnswer, bool, error) {
 	return HoldAnswer{}, false, nil
 }
 
@@ -83,13 +83,13 @@
 	minClockMS int64
 }
 
-// carrying reports whether orders are sent through carriers now. The lock is held.
-func (d *Driver) carrying(now time.Time) bool {
-	return now.Sub(d.throttledAt) < carryPeriod && d.Carriers.Ready()
+// relaying reports whether orders are sent through relays now. The lock is held.
+func (d *Driver) relaying(now time.Time) bool {
+	return now.Sub(d.throttledAt) < relayPeriod && d.Relays.Ready()
 }
 
-// sendStarts sends start orders, directly or through carriers. The lock is held.
-func (d *Driver) sendStarts(starts []cell.Start, carried bool) {
+// sendStarts sends start orders, directly or through relays. The lock is held.
+func (d *Driver) sendStarts(starts []cell.Start, relayed bool) {
 	var sent []pendingStart
 	now := clock.Now()
 	for i := range starts {
@@ -97,7 +97,7 @@
 			sent = append(sent, o)
 		}
 	}
-	if !carried {
+	if !relayed {
 		d.sendDirect(sent)
 		return
 	}
@@ -106,14 +106,14 @@
 		together := func(o pendingStart) bool { return stepOf(o.Task) == stepOf(first.Task) }
 		var group, rest []pendingStart
 		for _, o := range sent {
-			if len(group) < maxCarryBatch && together(o) {
+			if len(group) < maxRelayBatch && together(o) {
 				group = append(group, o)
 			} else {
 				rest = append(rest, o)
 			}
 		}
 		sent = rest
-		d.sendCarried(group)
+		d.sendRelayed(group)
 	}
 }
 
@@ -165,31 +165,31 @@
 	d.startAnswered(&o, StartResult{Answer: a, Err: err, Took: took})
 }
 
-// sendCarried sends orders for one step through a carrier, preferably one in the first worker's
+// sendRelayed sends orders for one step through a relay, preferably one in the first worker's
 // hall. The lock is held.
-func (d *Driver) sendCarried(group []pendingStart) {
+func (d *Driver) sendRelayed(group []pendingStart) {
 	size := 0
 	for _, o := range group {
 		s := o.sizedStart()
-		size += s.CarriedSize()
+		size += s.RelayedSize()
 	}
 	d.startWindow.Sent(size)
-	d.spawn(func() { d.carry(group, size) })
+	d.spawn(func() { d.relayStarts(group, size) })
 }
 
-// carry has a carrier send the orders and applies the results. If none was sent, they are sent
+// relayStarts has a relay send the orders and applies the results. If none was sent, they are sent
 // directly.
-func (d *Driver) carry(group []pendingStart, size int) {
+func (d *Driver) relayStarts(group []pendingStart, size int) {
 	orders := make([]StartOrder, 0, len(group))
 	var limit time.Duration
 	for _, o := range group {
 		orders = append(orders, o.StartOrder)
 		limit = max(limit, o.limit)
 	}
-	ctx, cancel := withAnswerTimeout(d.ctx, limit+carryOverhead)
+	ctx, cancel := withAnswerTimeout(d.ctx, limit+relayOverhead)
 	defer cancel()
 	sent := clock.Now()
-	results, err := d.Carriers.Starts(ctx, group[0].hall, orders, limit)
+	results, err := d.Relays.Starts(ctx, group[0].hall, orders, limit)
 	took := clock.Since(sent)
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -198,11 +198,11 @@
 		d.sendDirect(group)
 		return
 	}
-	// The workers' response time is not part of the time that the message to the carrier took.
+	// The workers' response time is not part of the time that the message to the relay took.
 	longest := slices.MaxFunc(append(results, StartResult{}), func(a, b StartResult) int { return int(a.Took - b.Took) })
 	d.sendFinished(size, took-longest.Took, err != nil)
 	if err == nil && len(results) != len(group) {
-		err = kind.New(kind.Damaged, "carrier returned a wrong number of results")
+		err = kind.New(kind.Damaged, "relay returned a wrong number of results")
 	}
 	for i := range group {
 		r := StartResult{Err: err}
--- a/driver/carry_test.go
+++ b/driver/relay_test.go
@@ -18,19 +18,19 @@
 )
 
 // thinLink implements Workers whose orders pass one after the other over a slow link. Every start
-// is accepted. It also records the orders sent by thinCarriers, which do not use the owner's link.
+// is accepted. It also records the orders sent by thinRelays, which do not use the owner's link.
 type thinLink struct {
 	mu sync.Mutex
 	// perOrder is the transfer time of an order, and linkFree when the link is free again.
 	perOrder time.Duration
 	linkFree time.Time
-	// direct and carried hold the orders received, and longest is the longest delay of a direct
+	// direct and relayed hold the orders received, and longest is the longest delay of a direct
 	// one.
-	direct, carried []StartOrder
+	direct, relayed []StartOrder
 	longest         time.Duration
 	held            int
-	// carryErr is the error that the carriers return.
-	carryErr error
+	// relayErr is the error that the relays return.
+	relayErr error
 }
 
 func (t *thinLink) Start(ctx context.Context, o StartOrder) (StartAnswer, error) {
@@ -72,7 +72,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var l cell.Lists
-	for _, all := range [][]StartOrder{t.direct, t.carried} {
+	for _, all := range [][]StartOrder{t.direct, t.relayed} {
 		for _, o := range all {
 			if o.Worker == worker {
 				l.Running = append(l.Running, cell.Running{Task: o.Task, Run: o.Run, Percent: 100})
@@ -82,18 +82,18 @@
 	return l
 }
 
-// thinCarriers are Carriers that deliver orders without the owner's link.
-type thinCarriers struct{ *thinLink }
+// thinRelays are Relays that deliver orders without the owner's link.
+type thinRelays struct{ *thinLink }
 
-func (c thinCarriers) Ready() bool { return true }
+func (c thinRelays) Ready() bool { return true }
 
-func (c thinCarriers) Starts(_ context.Context, _ string, orders []StartOrder, _ time.Duration) ([]StartResult, error) {
+func (c thinRelays) Starts(_ context.Context, _ string, orders []StartOrder, _ time.Duration) ([]StartResult, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.carryErr != nil {
-		return nil, c.carryErr
+	if c.relayErr != nil {
+		return nil, c.relayErr
 	}
-	c.carried = append(c.carried, orders...)
+	c.relayed = append(c.relayed, orders...)
 	out := make([]StartResult, len(orders))
 	for i := range out {
 		out[i] = StartResult{Answer: StartAnswer{Outcome: cell.Accepted, ClockMS: 1}, Took: time.Millisecond}
@@ -101,14 +101,14 @@
 	return out, nil
 }
 
-func (c thinCarriers) Hold(context.Context, string, HoldOrder, time.Duration) (HoldAnswer, bool, error) {
-	return HoldAnswer{}, false, kind.New(kind.Lost, "the carrier does not answer")
+func (c thinRelays) Hold(context.Context, string, HoldOrder, time.Duration) (HoldAnswer, bool, error) {
+	return HoldAnswer{}, false, kind.New(kind.Lost, "the relay does not answer")
 }
 
-func (t *thinLink) counts() (direct, carried int, longest time.Duration) {
+func (t *thinLink) counts() (direct, relayed int, longest time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return len(t.direct), len(t.carried), t.longest
+	return len(t.direct), len(t.relayed), t.longest
 }
 
 // roomyDirectory is a directory of 20 workers with room for everything.
@@ -161,49 +161,49 @@
 		Expect(longest).To(BeNumerically("<", wideTasks*each/2), "orders queue at the owner, which sorts them, not on the link")
 	})
 
-	ginkgo.It("is sent by carriers once orders are held back", func(ctx context.Context) {
+	ginkgo.It("is sent by relays once orders are held back", func(ctx context.Context) {
 		t := &thinLink{perOrder: each}
-		d := newWideDriver(ctx, t, func(d *Driver) { d.Carriers = thinCarriers{t} })
+		d := newWideDriver(ctx, t, func(d *Driver) { d.Relays = thinRelays{t} })
 		defer d.Close()
 		Eventually(func() int { n, m, _ := t.counts(); return n + m }, "10s").Should(Equal(wideTasks))
-		direct, carried, _ := t.counts()
-		Expect(carried).To(BeNumerically(">", direct))
+		direct, relayed, _ := t.counts()
+		Expect(relayed).To(BeNumerically(">", direct))
 		t.mu.Lock()
 		defer t.mu.Unlock()
-		for _, o := range t.carried {
+		for _, o := range t.relayed {
 			Expect(o.Fence).To(BeNumerically(">", d.Claim.Epoch()*fencesPerEpoch), "under the owner's fence")
 			Expect(o.Text).To(HaveLen(wideText))
 		}
 	})
 
-	ginkgo.It("is sent by the owner if no carrier can be reached", func(ctx context.Context) {
-		t := &thinLink{perOrder: time.Millisecond, carryErr: kind.New(kind.Unavailable, "refused")}
-		d := newWideDriver(ctx, t, func(d *Driver) { d.Carriers = thinCarriers{t} })
+	ginkgo.It("is sent by the owner if no relay can be reached", func(ctx context.Context) {
+		t := &thinLink{perOrder: time.Millisecond, relayErr: kind.New(kind.Unavailable, "refused")}
+		d := newWideDriver(ctx, t, func(d *Driver) { d.Relays = thinRelays{t} })
 		defer d.Close()
 		Eventually(func() int { n, _, _ := t.counts(); return n }, "10s").Should(Equal(wideTasks))
 		Consistently(func() int { n, _, _ := t.counts(); return n }, "300ms").Should(Equal(wideTasks))
 	})
 
-	ginkgo.It("is sent again under the next fence if a carrier is lost", func(ctx context.Context) {
-		t := &thinLink{perOrder: time.Millisecond, carryErr: kind.New(kind.Lost, "no answer")}
-		d := newWideDriver(ctx, t, func(d *Driver) { d.Carriers = thinCarriers{t} })
+	ginkgo.It("is sent again under the next fence if a relay is lost", func(ctx context.Context) {
+		t := &thinLink{perOrder: time.Millisecond, relayErr: kind.New(kind.Lost, "no answer")}
+		d := newWideDriver(ctx, t, func(d *Driver) { d.Relays = thinRelays{t} })
 		defer d.Close()
 		Eventually(func() int { n, _, _ := t.counts(); return n }, "1s").Should(BeNumerically(">", 0))
 		time.Sleep(200 * time.Millisecond)
 		t.mu.Lock()
 		before := t.held
-		t.carryErr = nil
+		t.relayErr = nil
 		t.mu.Unlock()
 		Expect(before).To(BeNumerically(">", 20), "workers whose orders had no answer are attached again")
 		Eventually(func() int { n, m, _ := t.counts(); return n + m }, "10s").Should(Equal(wideTasks))
 	})
 
-	ginkgo.It("has its workers held directly if a carrier gets no answer from them", func(ctx context.Context) {
+	ginkgo.It("has its workers held directly if a relay gets no answer from them", func(ctx context.Context) {
 		t := &thinLink{}
 		d := newDriver(ctx, newMemStore(), func() {})
 		defer d.Close()
-		d.Workers, d.Carriers = t, thinCarriers{t}
-		a, err := d.sendHold(ctx, pendingHold{HoldOrder: HoldOrder{Target: Target{Worker: "a"}}, hall: "h", limit: time.Second, carried: true})
+		d.Workers, d.Relays = t, thinRelays{t}
+		a, err := d.sendHold(ctx, pendingHold{HoldOrder: HoldOrder{Target: Target{Worker: "a"}}, hall: "h", limit: time.Second, relayed: true})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(a.ClockMS).To(Equal(int64(1)))
 	})
