--- a/cluster/relay_test.go
+++ b/cluster/relay_test.go
@@ -34,14 +34,14 @@
 		return driver.StartAnswer{ClockMS: 7, Outcome: cell.NoRoom}, nil
 	}
 	if o.Worker == "gone" {
-		return driver.StartAnswer{}, kind.New(kind.NotFound, "another life")
+		return driver.StartAnswer{}, kind.New(kind.NotFound, "another incarnation")
 	}
 	return driver.StartAnswer{ClockMS: 7}, nil
 }
 
 func (w *recordingWorkers) Hold(_ context.Context, o driver.HoldOrder) (driver.HoldAnswer, error) {
 	if o.Worker == "gone" {
-		return driver.HoldAnswer{}, kind.New(kind.NotFound, "another life")
+		return driver.HoldAnswer{}, kind.New(kind.NotFound, "another incarnation")
 	}
 	run := cell.Running{Task: flow.TaskID{Job: "j", Round: 1, Step: 2, Index: 3}, Run: 4, Checkpoint: "s", Percent: 50, Tail: 9}
 	return driver.HoldAnswer{ClockMS: 7, Lists: cell.Lists{Running: []cell.Running{run}, Finished: w.finished, Truncated: true}}, nil
--- a/driver/doc.go
+++ b/driver/doc.go
@@ -12,7 +12,7 @@
 // attaches the worker again under the next fence.
 //
 // A worker may restart under the same id. Each run of the worker's process is
-// called a life; it is identified by its start time (born).
+// called an incarnation; it is identified by its start time (born).
 //
 // The end of a run is applied to the cell at once, so that the next steps start
 // without waiting for the store. Ends are persisted in group commits, and only
--- a/driver/events.go
+++ b/driver/events.go
@@ -93,8 +93,8 @@
 		"wait_ms", o.Wait.Milliseconds(), "took_ms", took.Milliseconds())
 }
 
-// logReborn logs that a worker answers from another life, with what was known of the previous
-// life's ends and what the new one lists. The lock is held.
+// logReborn logs that a worker answers from another incarnation, with what was known of the
+// previous incarnation's ends and what the new one lists. The lock is held.
 func (d *Driver) logReborn(l *link, o HoldOrder, a *HoldAnswer, attach bool) {
 	d.Scope.Counter("workers_reborn_total").Inc(1)
 	first, last := 0, 0
--- a/driver/hold.go
+++ b/driver/hold.go
@@ -46,7 +46,7 @@
 	unsaved := d.cell.Unsaved(l.id)
 	o := HoldOrder{Target: Target{Worker: l.id, Addr: l.addr, Fence: l.fence}}
 	if !attach {
-		// The worker may be in another life, which numbers its ends from 1 again.
+		// The worker may be in another incarnation, which numbers its ends from 1 again.
 		o.Observed = d.cell.Observed(l.id)
 	}
 	// A worker that might not answer gets no longer lease: otherwise the end of the lease would
@@ -80,7 +80,8 @@
 	relayed, attach bool
 	// hall is the worker's hall when the hold was sent; that of the link may change meanwhile.
 	hall string
-	// born identifies the worker's known life; 0 if it is unknown or the worker does not report it.
+	// born identifies the worker's known incarnation; 0 if it is unknown or the worker does not
+	// report it.
 	born int64
 }
 
@@ -146,7 +147,7 @@
 		within, cancel := withAnswerTimeout(ctx, o.Wait+h.limit+relayOverhead)
 		a, done, err := d.Relays.Hold(within, h.hall, o, h.limit)
 		cancel()
-		// Relays of earlier versions omit which life has answered.
+		// Relays of earlier versions omit which incarnation has answered.
 		done = done && (err != nil || a.Lists.Born != 0 || h.born == 0)
 		if done || ctx.Err() != nil {
 			return a, err
@@ -159,7 +160,7 @@
 }
 
 // holdAnswered applies the answer to a hold. It returns an error of kind Damaged if the answer does
-// not say which life has given it although the worker did so before.
+// not say which incarnation has given it although the worker did so before.
 func (d *Driver) holdAnswered(l *link, o HoldOrder, a HoldAnswer, sent time.Time, attach bool) error {
 	now := clock.Now()
 	d.mu.Lock()
@@ -172,19 +173,19 @@
 	} else if late := now.Sub(sent) - o.Wait; late > 0 {
 		d.lateness.Observe(l.id, late, now)
 	}
-	switch another := l.isOtherLife(a.Lists.Born); {
+	switch another := l.isOtherIncarnation(a.Lists.Born); {
 	case l.fence != o.Fence || (!attach && !l.attached):
 		// An order was lost meanwhile, so the running runs in the answer are out of date. Ended
 		// runs remain valid, and a worker that leaves may not list them again.
 		d.cell.EndsListed(l.id, a.Lists, now)
 	case another && !attach:
-		// Orders for the previous life may still reach the new one. It is attached under a fence
-		// above theirs before anything else in its lists is used.
+		// Orders for the previous incarnation may still reach the new one. It is attached under a
+		// fence above theirs before anything else in its lists is used.
 		d.logReborn(l, o, &a, attach)
 		d.reattach(l.id)
 	case attach:
 		if another {
-			d.replaceLife(l, o, &a, now)
+			d.replaceIncarnation(l, o, &a, now)
 		}
 		d.workerAttached(l, &a, now)
 	case a.EndsOnly:
@@ -214,7 +215,7 @@
 		d.relist(l)
 	}
 	if l.likelyBorn() != a.Lists.Born {
-		// The next owner must know which life may execute the runs that this owner starts.
+		// The next owner must know which incarnation may execute the runs that this owner starts.
 		d.workerListChanged = true
 		notify(d.commitNow)
 	}
--- a/driver/life.go
+++ b/driver/incarnation.go
@@ -17,9 +17,9 @@
 	maxClockAhead = 2 * time.Second
 )
 
-// life is the state of one life of a worker. A worker that restarts under the same id has no state
-// from before, and its clock starts anew.
-type life struct {
+// incarnation is what the driver knows of one incarnation of a worker. A worker that restarts under
+// the same id has no state from before, and its clock starts anew.
+type incarnation struct {
 	// born is the start time reported by the worker; 0 if unknown or not reported.
 	born int64
 	// clockMS was the reading of the worker's clock at clockAt or earlier.
@@ -33,28 +33,30 @@
 	listedAt, answeredAt time.Time
 }
 
-// entryInfo is the content of the newest entry of a worker, which may be that of another life.
+// entryInfo is the content of the newest entry of a worker, which may be that of another
+// incarnation.
 type entryInfo struct {
-	// writerBorn is the start time of the life that wrote the entry, 0 if the entry does not say.
+	// writerBorn is the start time of the incarnation that wrote the entry, 0 if the entry does not
+	// say.
 	writerBorn int64
 	// draining says that the worker leaves, and leavesAt is the earliest time at which it does.
 	draining bool
 	leavesAt time.Time
 }
 
-// isOtherLife reports whether an answer with the given start time comes from another life than the
-// known one.
-func (l *life) isOtherLife(born int64) bool {
+// isOtherIncarnation reports whether an answer with the given start time comes from another
+// incarnation than the known one.
+func (l *incarnation) isOtherIncarnation(born int64) bool {
 	return (l.born != 0 || !l.answeredAt.IsZero()) && born != l.born
 }
 
-// replaceLife discards the state of the previous life after another life has accepted the newest
-// fence. The lock is held.
-func (d *Driver) replaceLife(l *link, o HoldOrder, a *HoldAnswer, now time.Time) {
+// replaceIncarnation discards the state of the previous incarnation after another incarnation has
+// accepted the newest fence. The lock is held.
+func (d *Driver) replaceIncarnation(l *link, o HoldOrder, a *HoldAnswer, now time.Time) {
 	d.logReborn(l, o, a, true)
-	// A lease that was given by the previous life's clock may last as long as the longest lease
-	// that a worker grants.
-	l.life = life{leasesEnd: now.Add(slowClockDuration(max(d.MaxWorkerLease, d.WorkerLease)))}
+	// A lease that was given by the previous incarnation's clock may last as long as the longest
+	// lease that a worker grants.
+	l.incarnation = incarnation{leasesEnd: now.Add(slowClockDuration(max(d.MaxWorkerLease, d.WorkerLease)))}
 }
 
 // slowClockDuration returns how long a lease of d may last by this clock if the worker's is slow.
@@ -77,16 +79,16 @@
 }
 
 // updateClock applies a reading of the worker's clock.
-func (l *life) updateClock(ms int64, now time.Time) {
+func (l *incarnation) updateClock(ms int64, now time.Time) {
 	if ms > 0 {
 		l.clockMS, l.clockAt = ms, now
 	}
 }
 
-// plausibleClock reports whether a reading of the worker's clock can belong to this life. The
-// reading is in the answer to an order that was sent when the clock was known to be past after. It
-// is checked because the answer to a start does not say which life has given it.
-func (l *life) plausibleClock(ms, after int64, now time.Time) bool {
+// plausibleClock reports whether a reading of the worker's clock can belong to this incarnation.
+// The reading is in the answer to an order that was sent when the clock was known to be past after.
+// It is checked because the answer to a start does not say which incarnation has given it.
+func (l *incarnation) plausibleClock(ms, after int64, now time.Time) bool {
 	ahead := l.clockMS + (now.Sub(l.clockAt)*(100+maxDriftPercent)/100 + maxClockAhead).Milliseconds()
 	return ms == 0 || l.clockMS == 0 || (ms >= after && ms <= ahead)
 }
--- a/driver/life_test.go
+++ b/driver/incarnation_test.go
@@ -45,7 +45,7 @@
 
 func (w *restartingWorker) clock() int64 { return w.clockMS + time.Since(w.begun).Milliseconds() }
 
-// restart begins another life at the given address.
+// restart begins another incarnation at the given address.
 func (w *restartingWorker) restart(addr string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -161,7 +161,7 @@
 		w.mu.Unlock()
 		Eventually(func() bool { d.mu.Lock(); defer d.mu.Unlock(); return d.links["w"].attached }, "5s").Should(BeFalse())
 		w.restart("nowhere")
-		// A late order for the previous life reaches it.
+		// A late order for the previous incarnation reaches it.
 		_, _ = w.Start(ctx, StartOrder{Task: flow.TaskID{Job: "1"}, Run: 1})
 		w.mu.Lock()
 		w.addr = "a"
@@ -172,8 +172,8 @@
 		Expect(w.forgot).To(BeFalse())
 	})
 
-	// attachedDriver returns a driver whose link is attached to a worker's life and which sends
-	// nothing by itself.
+	// attachedDriver returns a driver whose link is attached to a worker's incarnation and which
+	// sends nothing by itself.
 	attachedDriver := func(ctx context.Context) (*Driver, *link) {
 		d := newDriver(ctx, newMemStore(), func() {})
 		d.cancel()
@@ -196,32 +196,32 @@
 		return d.holdAnswered(l, HoldOrder{Target: Target{Fence: l.fence}, Wait: time.Second}, HoldAnswer{ClockMS: 1, Lists: cell.Lists{Born: born}}, time.Now(), attach)
 	}
 
-	ginkgo.It("is attached again before a list counts that came under a fence of orders for the previous life", func(ctx context.Context) {
+	ginkgo.It("is attached again before a list counts that came under a fence of orders for the previous incarnation", func(ctx context.Context) {
 		d, l := attachedDriver(ctx)
 		Expect(answer(d, l, bornAfter, false)).To(Succeed())
 		Expect(l.attached).To(BeFalse())
 		Expect(l.born).To(Equal(int64(bornBefore)))
 		d.workerListChanged = false
 		Expect(answer(d, l, bornAfter, true)).To(Succeed())
-		Expect(d.workerListChanged).To(BeTrue(), "the next owner has to know the new life")
+		Expect(d.workerListChanged).To(BeTrue(), "the next owner has to know the new incarnation")
 		Expect(l.born).To(Equal(int64(bornAfter)))
 		Expect(l.clockMS).To(Equal(int64(1)))
 	})
 
-	ginkgo.It("may keep a lease set by the previous life's clock for the longest time that workers grant", func(ctx context.Context) {
+	ginkgo.It("may keep a lease set by the previous incarnation's clock for the longest time that workers grant", func(ctx context.Context) {
 		d, l := attachedDriver(ctx)
 		d.MaxWorkerLease = 10 * time.Second
 		Expect(answer(d, l, bornAfter, true)).To(Succeed())
 		Expect(time.Until(l.leasesEnd)).To(BeNumerically(">", 9*time.Second))
 	})
 
-	ginkgo.It("is not taken for the same life if it no longer states its start time", func(ctx context.Context) {
+	ginkgo.It("is not taken for the same incarnation if it no longer states its start time", func(ctx context.Context) {
 		d, l := attachedDriver(ctx)
 		err := answer(d, l, 0, false)
 		Expect(kind.Is(err, kind.Damaged)).To(BeTrue())
 	})
 
-	ginkgo.It("is attached again once after an entry of another life, and at the entry's address", func(ctx context.Context) {
+	ginkgo.It("is attached again once after an entry of another incarnation, and at the entry's address", func(ctx context.Context) {
 		d, l := attachedDriver(ctx)
 		d.mu.Lock()
 		defer d.mu.Unlock()
@@ -243,7 +243,7 @@
 		d.mu.Lock()
 		o, _ := d.newStartOrder(&cell.Start{Worker: "w", Task: flow.TaskID{Job: "0"}, Run: 1}, time.Now())
 		d.applyEntry(Entry{Ver: 2, Worker: cell.Worker{ID: "w", Born: bornBefore, Addr: "b"}}, time.Now())
-		other := kind.New(kind.NotFound, "another life is at a")
+		other := kind.New(kind.NotFound, "another incarnation is at a")
 		d.ctx = ctx
 		d.startAnswered(&o, StartResult{Err: other})
 		Expect(d.links).To(HaveKey("w"))
@@ -259,19 +259,19 @@
 		Expect(l.missingSince).NotTo(BeZero())
 	})
 
-	ginkgo.It("keeps its clock though a late answer of the previous life is read", func(ctx context.Context) {
+	ginkgo.It("keeps its clock though a late answer of the previous incarnation is read", func(ctx context.Context) {
 		d, l := attachedDriver(ctx)
 		d.mu.Lock()
 		defer d.mu.Unlock()
 		o, _ := d.newStartOrder(&cell.Start{Worker: "w", Task: flow.TaskID{Job: "0"}, Run: 1}, time.Now())
 		l.fence++
-		l.life = life{born: bornAfter, clockMS: 1, clockAt: time.Now()}
+		l.incarnation = incarnation{born: bornAfter, clockMS: 1, clockAt: time.Now()}
 		d.ctx = ctx
 		d.startAnswered(&o, StartResult{Answer: StartAnswer{ClockMS: 5_000_001}})
 		Expect(l.clockMS).To(Equal(int64(1)))
 	})
 
-	ginkgo.It("is not ended by the upkeep that ended the previous life", func(ctx context.Context) {
+	ginkgo.It("is not ended by the upkeep that ended the previous incarnation", func(ctx context.Context) {
 		d, _ := attachedDriver(ctx)
 		d.IncarnationEnded("w", bornBefore-1)
 		Expect(d.links).To(HaveKey("w"))
@@ -282,7 +282,7 @@
 		Expect(d.links).NotTo(HaveKey("w"))
 	})
 
-	ginkgo.It("has a leaving time of its own, not that of the previous life", func(ctx context.Context) {
+	ginkgo.It("has a leaving time of its own, not that of the previous incarnation", func(ctx context.Context) {
 		d, l := attachedDriver(ctx)
 		d.mu.Lock()
 		defer d.mu.Unlock()
@@ -292,7 +292,7 @@
 		Expect(time.Until(l.leavesAt)).To(BeNumerically("<", 2*time.Second))
 	})
 
-	ginkgo.It("is attached again if the answer to a start has the clock of another life", func(ctx context.Context) {
+	ginkgo.It("is attached again if the answer to a start has the clock of another incarnation", func(ctx context.Context) {
 		for _, ms := range []int64{1, 9_000_000} {
 			d, l := attachedDriver(ctx)
 			d.mu.Lock()
@@ -324,7 +324,7 @@
 		Expect(next.links["w"].born).To(Equal(int64(bornBefore)))
 	})
 
-	ginkgo.It("is held directly if a relay does not say which life has answered", func(ctx context.Context) {
+	ginkgo.It("is held directly if a relay does not say which incarnation has answered", func(ctx context.Context) {
 		d := newDriver(ctx, newMemStore(), func() {})
 		defer d.Close()
 		w := newRestartingWorker()
@@ -335,7 +335,7 @@
 	})
 })
 
-// relaysWithoutBorn are Relays whose answers do not say which life has answered.
+// relaysWithoutBorn are Relays whose answers do not say which incarnation has answered.
 type relaysWithoutBorn struct{ noRelays }
 
 func (relaysWithoutBorn) Hold(context.Context, string, HoldOrder, time.Duration) (HoldAnswer, bool, error) {
--- a/driver/leaving_test.go
+++ b/driver/leaving_test.go
@@ -172,7 +172,7 @@
 		all, _ := (&growingDirectory{}).All(ctx)
 		d.cell.Heard(all[0].Worker, now)
 		d.cell.Attached("w", cell.Lists{Running: []cell.Running{{Task: flow.TaskID{Job: "j", Index: 3}, Run: 5, Percent: 98}}}, now)
-		l := &link{id: "w", entryInfo: entryInfo{draining: true}, life: life{answeredAt: now.Add(-6 * time.Second)}}
+		l := &link{id: "w", entryInfo: entryInfo{draining: true}, incarnation: incarnation{answeredAt: now.Add(-6 * time.Second)}}
 		d.holdFailed(l, errUnreachable)
 		Expect(lines.String()).To(ContainSubstring("event=lease_over worker=w left=true heard_ms_ago=6"))
 		Expect(lines.String()).To(ContainSubstring("event=run_left_behind job=j step=0 index=3 run=5 worker=w percent=98"))
--- a/driver/link.go
+++ b/driver/link.go
@@ -37,13 +37,13 @@
 	missingGrace = 2200 * time.Millisecond
 )
 
-// link is the driver's state of a worker, apart from that in the cell. Fields outside life and
-// entryInfo hold across the worker's lives.
+// link is the driver's state of a worker, apart from that in the cell. Fields outside incarnation
+// and entryInfo hold across the worker's incarnations.
 type link struct {
 	id, addr, hall string
 	fence          uint64
 	attached       bool
-	life
+	incarnation
 	entryInfo
 	// rehold makes the link attach the worker again without waiting for the answer to the present
 	// hold.
--- a/driver/loss.go
+++ b/driver/loss.go
@@ -23,7 +23,7 @@
 	notify(d.placeNow)
 }
 
-// workerDead handles the certain end of a worker's life.
+// workerDead handles the certain end of a worker's incarnation.
 func (d *Driver) workerDead(id string, how cell.Loss) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -32,7 +32,7 @@
 	}
 }
 
-// dropDeadWorker ends the link to a worker whose life has certainly ended. The lock is held.
+// dropDeadWorker ends the link to a worker whose incarnation has certainly ended. The lock is held.
 func (d *Driver) dropDeadWorker(l *link, how cell.Loss) {
 	level.Info(d.Log).Log("event", "worker_dead", "worker", l.id, "why", string(how))
 	d.dropLink(l, how, clock.Now())
--- a/driver/ports.go
+++ b/driver/ports.go
@@ -10,7 +10,7 @@
 	"dewpass.org/flow"
 )
 
-// Target identifies the life of a worker that an order is for, and the fence of the order.
+// Target identifies the incarnation of a worker that an order is for, and the fence of the order.
 type Target struct {
 	// Worker is the id of the worker. Another worker at the address refuses the order.
 	Worker string
@@ -78,8 +78,8 @@
 }
 
 // Workers sends orders to workers. Errors are of kind Fenced (the worker has seen a higher fence),
-// NotFound (another worker or life is at the address), Unavailable (certainly not received) or Lost
-// (possibly received).
+// NotFound (another worker or incarnation is at the address), Unavailable (certainly not received)
+// or Lost (possibly received).
 type Workers interface {
 	Start(ctx context.Context, o StartOrder) (StartAnswer, error)
 	Stop(ctx context.Context, o StopOrder) error
--- a/driver/watch.go
+++ b/driver/watch.go
@@ -126,7 +126,7 @@
 	}
 	if e.Ver > link.entryVer {
 		link.entryVer = e.Ver
-		d.applyLife(link, &e)
+		d.applyIncarnation(link, &e)
 		d.adjustRemaining(link, &e, now)
 		if e.Draining && !link.draining {
 			level.Info(d.Log).Log("event", "worker_leaves", "worker", e.ID, "version", e.Ver, "remaining_ms", e.Remaining.Milliseconds())
@@ -137,10 +137,10 @@
 	link.missingSince = time.Time{}
 }
 
-// applyLife applies which life wrote an entry, and its address. The entry may be older than what is
-// known, so it does not end a life by itself: the worker is attached again, and its answer decides.
-// The lock is held.
-func (d *Driver) applyLife(l *link, e *Entry) {
+// applyIncarnation applies which incarnation wrote an entry, and its address. The entry may be
+// older than what is known, so it does not end an incarnation by itself: the worker is attached
+// again, and its answer decides. The lock is held.
+func (d *Driver) applyIncarnation(l *link, e *Entry) {
 	moved := l.addr != e.Addr
 	l.addr = e.Addr
 	if l.hall != e.Hall {
@@ -150,7 +150,7 @@
 	if other {
 		l.entryInfo = entryInfo{writerBorn: e.Born}
 	}
-	if moved || (other && e.Born != 0 && l.isOtherLife(e.Born)) {
+	if moved || (other && e.Born != 0 && l.isOtherIncarnation(e.Born)) {
 		level.Info(d.Log).Log("event", "entry_of_another_life", "worker", l.id, "version", e.Ver, "known", l.born, "born", e.Born, "moved", moved)
 		d.reattach(l.id)
 	}
--- a/driver/workerlist.go
+++ b/driver/workerlist.go
@@ -23,7 +23,7 @@
 	ID   string `json:"id"`
 	Addr string `json:"addr"`
 	Hall string `json:"hall,omitempty"`
-	// Born identifies the life that may execute the runs.
+	// Born identifies the incarnation that may execute the runs.
 	Born int64 `json:"born,omitempty"`
 }
 
@@ -64,8 +64,8 @@
 	return out
 }
 
-// likelyBorn returns the life that may execute runs: the one that has listed its runs or, while
-// none has, the one that wrote the worker's entry.
+// likelyBorn returns the incarnation that may execute runs: the one that has listed its runs or,
+// while none has, the one that wrote the worker's entry.
 func (l *link) likelyBorn() int64 {
 	if l.born != 0 {
 		return l.born
--- a/upkeep/record.go
+++ b/upkeep/record.go
@@ -93,16 +93,16 @@
 }
 
 // returned returns the machines whose worker is back under the same id. As the list of machines
-// may be older than the upkeep, the start time of the worker decides: life returns the newest
-// one that is known, and whether that incarnation is certainly present.
-func (r Record) returned(all machinesByName, life func(worker string) (int64, bool)) []string {
+// may be older than the upkeep, the start time of the worker decides: incarnation returns the
+// newest one that is known, and whether that incarnation is certainly present.
+func (r Record) returned(all machinesByName, incarnation func(worker string) (int64, bool)) []string {
 	var out []string
 	for name, slot := range r {
 		m := all[name]
 		if !slot.Begun || slot.Returned || !m.Up || m.Worker != slot.Worker || slot.Born == 0 {
 			continue
 		}
-		if now, sure := life(m.Worker); sure && now != 0 && now != slot.Born {
+		if now, sure := incarnation(m.Worker); sure && now != 0 && now != slot.Born {
 			out = append(out, name)
 		}
 	}
--- a/upkeep/upkeep_test.go
+++ b/upkeep/upkeep_test.go
@@ -54,8 +54,8 @@
 	draining []string
 	busy     map[string]bool
 	ended    []string
-	// lives holds the start times of the present incarnations.
-	lives map[string]int64
+	// born holds the start times of the present incarnations.
+	born map[string]int64
 	// away holds workers that are not certainly present.
 	away map[string]bool
 }
@@ -63,7 +63,7 @@
 func (c *fakeCell) Drain(workers []string, _ time.Duration) { c.draining = workers }
 func (c *fakeCell) Drained(w string) bool                   { return !c.busy[w] }
 func (c *fakeCell) IncarnationEnded(w string, _ int64)      { c.ended = append(c.ended, w) }
-func (c *fakeCell) Incarnation(w string) (int64, bool)      { return c.lives[w], !c.away[w] }
+func (c *fakeCell) Incarnation(w string) (int64, bool)      { return c.born[w], !c.away[w] }
 
 // fakeStore is a store with one row.
 type fakeStore struct {
@@ -103,7 +103,7 @@
 				{Name: "m0", Worker: "w0", Up: true}, {Name: "m1", Worker: "w1", Up: true}, {Name: "m2", Worker: "w2", Up: true},
 			},
 		}
-		c = &fakeCell{busy: make(map[string]bool), lives: make(map[string]int64)}
+		c = &fakeCell{busy: make(map[string]bool), born: make(map[string]int64)}
 		r = &Runner{
 			Platform: s, Store: &fakeStore{}, Cell: c, Holder: "me", Fence: 3,
 			OwnsRack: func(string) bool { return true }, Log: log.NewNopLogger(),
@@ -133,31 +133,31 @@
 	})
 
 	It("continues once a machine is back under the same worker id, and not before", func() {
-		c.lives = map[string]int64{"w0": 10, "w1": 11, "w2": 12}
+		c.born = map[string]int64{"w0": 10, "w1": 11, "w2": 12}
 		Expect(step()).To(Succeed())
 		Expect(s.orders).To(HaveLen(1))
 		Expect(step()).To(Succeed())
 		Expect(s.orders).To(HaveLen(1), "the list still shows the incarnation that has ended")
-		c.lives["w0"] = 0
+		c.born["w0"] = 0
 		Expect(step()).To(Succeed())
 		Expect(s.orders).To(HaveLen(1), "no incarnation is known")
-		c.lives["w0"], c.away = 5, map[string]bool{"w0": true}
+		c.born["w0"], c.away = 5, map[string]bool{"w0": true}
 		Expect(step()).To(Succeed())
 		Expect(s.orders).To(HaveLen(1), "the knowledge of a former owner may be older than the upkeep")
-		c.lives["w0"], c.away = 20, nil
+		c.born["w0"], c.away = 20, nil
 		Expect(step()).To(Succeed())
 		Expect(s.orders).To(HaveLen(2))
-		c.lives["w1"] = 21
+		c.born["w1"] = 21
 		Expect(step()).To(Succeed())
 		Expect(step()).To(Succeed())
 		Expect(s.reported).To(Equal([]bool{false, true}))
 	})
 
 	It("does not mistake a restart under the same worker id for the upkeep, and does not end the new incarnation", func() {
-		c.lives["w0"] = 10
+		c.born["w0"] = 10
 		s.err = kind.New(kind.Lost, "no answer")
 		Expect(step()).NotTo(Succeed())
-		c.lives["w0"], s.err = 20, nil
+		c.born["w0"], s.err = 20, nil
 		Expect(step()).To(Succeed())
 		Expect(s.orders).To(HaveLen(2), "it is ordered again")
 		Expect(c.ended).To(BeEmpty(), "the upkeep may be over, and the new incarnation continues")
