--- a/cell/worker.go
+++ b/cell/worker.go
@@ -152,8 +152,8 @@
 	return w.attached && !w.silent && !w.leaving() && !w.Gone && w.unknownRuns == 0 && w.described()
 }
 
-// EntryMissing reports to the cell that a worker's entry has been missing for too long to place anything
-// there.
+// EntryMissing reports to the cell that a worker's entry has been missing for too long to place
+// anything there.
 func (c *Cell) EntryMissing(id string) {
 	if w := c.workers[id]; w != nil {
 		w.Gone = true
--- a/claim/claim.go
+++ b/claim/claim.go
@@ -48,7 +48,8 @@
 // before a store outage blocked all orders for the length of the outage (4.2 s).
 const AbsentTakeoverDelay = 8 * time.Second
 
-// DefaultExpiry is how long a lease that states no validity may go unwritten before it may be taken.
+// DefaultExpiry is how long a lease that states no validity may go unwritten before it may be
+// taken.
 const DefaultExpiry = MaxValidity + TakeoverMargin
 
 // Table is the table of cell leases. The part is the name of the cell.
--- a/cluster/accept.go
+++ b/cluster/accept.go
@@ -23,8 +23,8 @@
 const (
 	// acceptTimeout limits the time for storing a submitted job.
 	acceptTimeout = 2200 * time.Millisecond
-	// acceptCheckInterval is how long the write of a job may go unanswered before the store is asked
-	// whether it has the job.
+	// acceptCheckInterval is how long the write of a job may go unanswered before the store is
+	// asked whether it has the job.
 	acceptCheckInterval = 150 * time.Millisecond
 	// acceptCheckTimeout limits that check, in the same proportion as for a cell lease, so that the
 	// write is sent again on another connection well within acceptTimeout.
@@ -33,17 +33,17 @@
 	// awaitInterval is how often a caller that waits for the store checks again: a few milliseconds
 	// of the quarter of a second that it waits.
 	awaitInterval = 10 * time.Millisecond
-	// notifyTimeout limits the attempts to notify the owner of a cell; later the owner finds the job
-	// in the store itself.
+	// notifyTimeout limits the attempts to notify the owner of a cell; later the owner finds the
+	// job in the store itself.
 	notifyTimeout        = 4 * time.Second
 	notifyAttemptTimeout = 400 * time.Millisecond
 	notifyRetryPause     = 80 * time.Millisecond
 )
 
 // Submit stores a job and notifies the owner of its cell. It also returns nil if the job was stored
-// before. Errors are of kind Unavailable (the job was not accepted and never runs), KeyReused (the id
-// belongs to another client account) or Lost (not known whether it was accepted). Submit needs the
-// store but no owner: a job that is submitted while its cell changes owners waits in the store.
+// before. Errors are of kind Unavailable (the job was not accepted and never runs), KeyReused (the
+// id belongs to another client account) or Lost (not known whether it was accepted). Submit needs
+// the store but no owner: a job that is submitted while its cell changes owners waits in the store.
 func (n *Instance) Submit(ctx context.Context, spec *flow.Spec) error {
 	ctx, cancel := context.WithTimeout(ctx, acceptTimeout)
 	defer cancel()
@@ -145,8 +145,8 @@
 	return retry.Delay(n.storeClient.Silence(), id)
 }
 
-// chooseCell returns the least loaded cell for a job, or one chosen by hash while no owner is heard.
-// It returns "" while the cells are not known.
+// chooseCell returns the least loaded cell for a job, or one chosen by hash while no owner is
+// heard. It returns "" while the cells are not known.
 func (n *Instance) chooseCell(spec *flow.Spec) string {
 	if p := n.candidates(spec); len(p) > 0 {
 		n.members.addSentWork(p[0].name, spec.EstimatedWork().Milliseconds())
@@ -156,8 +156,8 @@
 }
 
 // startHall returns the hall in which a job may start at once, without further checks. It is drawn
-// with a probability in proportion to the room that the cell has free in each hall. While the cell's
-// owner is not heard it is the own hall, which is certainly not cut off.
+// with a probability in proportion to the room that the cell has free in each hall. While the
+// cell's owner is not heard it is the own hall, which is certainly not cut off.
 func (n *Instance) startHall(cell, id string) string {
 	if d := n.ownDriver(cell); d != nil {
 		load := d.Load()
--- a/cluster/advise.go
+++ b/cluster/advise.go
@@ -22,8 +22,8 @@
 	// peerMaxSilence is the longest silence after which a peer is still given questions or orders.
 	// Owners greet all peers more often than that.
 	peerMaxSilence = 700 * time.Millisecond
-	// failedPeerPause is how long a peer that failed to return an answer is given nothing. Without it
-	// a peer that refuses connections would always seem to be the least loaded one.
+	// failedPeerPause is how long a peer that failed to return an answer is given nothing. Without
+	// it a peer that refuses connections would always seem to be the least loaded one.
 	failedPeerPause = 1500 * time.Millisecond
 )
 
@@ -33,8 +33,8 @@
 	return 1 + len(n.members.list(now, func(k *member) bool { return k.responsive(now) }))
 }
 
-// advise asks the policy through the instance that is expected to have the answer first, and through
-// another one if that fails.
+// advise asks the policy through the instance that is expected to have the answer first, and
+// through another one if that fails.
 func (n *Instance) advise(ctx context.Context, a cell.Ask) (driver.Tickets, error) {
 	if n.Advisor == nil {
 		return driver.Tickets{}, kind.New(kind.Unavailable, "no policy service is configured")
@@ -83,8 +83,8 @@
 	n.mu.Unlock()
 }
 
-// adviceCaller chooses who puts a question to the policy: the instance whose questions in progress are
-// answered first, since the policy handles those of one caller one after another. nil is this
+// adviceCaller chooses who puts a question to the policy: the instance whose questions in progress
+// are answered first, since the policy handles those of one caller one after another. nil is this
 // instance itself. Short questions are asked here while none is in progress here; long ones
 // preferably by instances that own no cell.
 func (n *Instance) adviceCaller(a *cell.Ask) *member {
@@ -114,14 +114,15 @@
 }
 
 const (
-	// otherHallCost is added for a caller in another hall, for the round trip. ownerCost is added for
-	// a caller that owns a cell if the question is long: short ones should not have to wait behind it.
+	// otherHallCost is added for a caller in another hall, for the round trip. ownerCost is added
+	// for a caller that owns a cell if the question is long: short ones should not have to wait
+	// behind it.
 	otherHallCost = 4 * time.Millisecond
 	ownerCost     = 250 * time.Millisecond
 )
 
-// callerCost ranks a caller by the expected time to answer its questions in progress, whether it owns
-// a cell, and whether it is in another hall.
+// callerCost ranks a caller by the expected time to answer its questions in progress, whether it
+// owns a cell, and whether it is in another hall.
 func callerCost(backlog time.Duration, owner, far, long bool) time.Duration {
 	c := backlog
 	if owner && long {
--- a/cluster/badrows.go
+++ b/cluster/badrows.go
@@ -16,7 +16,8 @@
 // maxLoggedRows limits the rows that are remembered as logged.
 const maxLoggedRows = 1000
 
-// badRows counts the rows of the store that cannot be read, and logs each version of such a row once.
+// badRows counts the rows of the store that cannot be read, and logs each version of such a row
+// once.
 type badRows struct {
 	log   log.Logger
 	count tally.Counter
--- a/cluster/configs.go
+++ b/cluster/configs.go
@@ -17,12 +17,12 @@
 )
 
 // The configuration arrives in one way at a time: the store's feed brings each change once. Only if
-// a peer has had a newer version for a while and the store delivers nothing is a peer asked as well,
-// and only one at a time. So the amount that an instance reads does not grow with the number of its
-// peers, and a change occupies its link for one transfer.
+// a peer has had a newer version for a while and the store delivers nothing is a peer asked as
+// well, and only one at a time. So the amount that an instance reads does not grow with the number
+// of its peers, and a change occupies its link for one transfer.
 const (
-	// configRetryPause is the pause between attempts while there is no configuration, the feed fails,
-	// or it answers without waiting.
+	// configRetryPause is the pause between attempts while there is no configuration, the feed
+	// fails, or it answers without waiting.
 	configRetryPause = 200 * time.Millisecond
 	// feedWait is how long one call to the feed waits for a change. A connection that has gone
 	// silent is noticed that much later than with a call that returns at once.
@@ -43,8 +43,8 @@
 	// fetchDelay is how long the store's feed has to start to deliver a configuration that a peer
 	// has: longer than a large one takes over an ordinary link.
 	fetchDelay = 250 * time.Millisecond
-	// fetchTimeout limits a request to a peer, so that one that is paused does not delay the request
-	// to another: a link of 10 Mbit/s carries 1.2 MB of compressed data in it.
+	// fetchTimeout limits a request to a peer, so that one that is paused does not delay the
+	// request to another: a link of 10 Mbit/s carries 1.2 MB of compressed data in it.
 	fetchTimeout = time.Second
 	// configErrorLogInterval limits the log lines on failed reads of the configuration; counters
 	// count all of them.
@@ -119,13 +119,14 @@
 	return f.position == 0 || now.Sub(f.answeredAt) > positionTTL || now.Sub(f.fullReadAt) > interval
 }
 
-// fullReadDivisor returns by how much less often than alone each of inHall instances of a hall reads
-// the whole document: a version that one of them finds, the others learn of by greetings. When each
-// of 147 instances read it on its own schedule, that was a tenth of all reads of the store.
+// fullReadDivisor returns by how much less often than alone each of inHall instances of a hall
+// reads the whole document: a version that one of them finds, the others learn of by greetings.
+// When each of 147 instances read it on its own schedule, that was a tenth of all reads of the
+// store.
 func fullReadDivisor(inHall int) int { return max(1, inHall/fullReadRedundancy) }
 
-// update records the result of a call. A failed call leaves the position as it was, unless the store
-// no longer has the changes since then, or the call returned a document that cannot be used.
+// update records the result of a call. A failed call leaves the position as it was, unless the
+// store no longer has the changes since then, or the call returned a document that cannot be used.
 func (f *feedState) update(full bool, at uint64, err error, now time.Time) {
 	if full {
 		f.fullReadAt = now
--- a/cluster/configs_test.go
+++ b/cluster/configs_test.go
@@ -64,8 +64,8 @@
 }
 
 // Guards against transfers that together fill the link. Instances with links of 10 Mbit/s read a
-// configuration of 4,000 queues in full every 0.9 s and also requested it from every peer with a newer
-// one: 1.2 MB/s, the whole link, so that not a single transfer completed.
+// configuration of 4,000 queues in full every 0.9 s and also requested it from every peer with a
+// newer one: 1.2 MB/s, the whole link, so that not a single transfer completed.
 var _ = Describe("the configuration", func() {
 	It("is read in full once, and then only its changes", func() {
 		s := &fakeConfigSource{version: 1, raw: make([]byte, 1<<20)}
@@ -197,7 +197,8 @@
 	})
 
 	It("arrives from a second peer within 2 s when the first one is paused", func() {
-		// The configuration has to arrive within 3 s, and the store rejects the calls of this instance.
+		// The configuration has to arrive within 3 s, and the store rejects the calls of this
+		// instance.
 		silent, err := net.Listen("tcp", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
 		DeferCleanup(silent.Close)
--- a/cluster/division.go
+++ b/cluster/division.go
@@ -85,14 +85,14 @@
 }
 
 // A job is shared among cells if a step of it needs more than 1/shareDivisor of a cell's workers. A
-// policy may allow no more than a third of the workers for a step, and one hall of four or more may be
-// cut off: about a quarter is certain to remain.
+// policy may allow no more than a third of the workers for a step, and one hall of four or more may
+// be cut off: about a quarter is certain to remain.
 const shareDivisor = 4
 
 // sharedWith returns the cells that a job of one cell is shared with: all others, if a long-running
-// step with a limit on its tasks per worker may not find enough workers in one cell. (Tasks that end
-// can take turns there instead.) A job is not shared if a step may miss fewer tasks than there are
-// cells: a cell that may not move a single task could never drain a machine for its upkeep.
+// step with a limit on its tasks per worker may not find enough workers in one cell. (Tasks that
+// end can take turns there instead.) A job is not shared if a step may miss fewer tasks than there
+// are cells: a cell that may not move a single task could never drain a machine for its upkeep.
 func (d *division) sharedWith(spec *flow.Spec, cell string) []string {
 	names := d.cells()
 	if len(names) < 2 || !spec.Shareable() {
--- a/cluster/elect.go
+++ b/cluster/elect.go
@@ -30,13 +30,13 @@
 	strongerDelay = 300 * time.Millisecond
 	// ownedCellDelay is added for each cell that an instance already owns.
 	ownedCellDelay = 300 * time.Millisecond
-	// ownerTimeout is how long an owner must not have been heard before its cell lease may be taken,
-	// provided that the lease is free or the owner's process is gone.
+	// ownerTimeout is how long an owner must not have been heard before its cell lease may be
+	// taken, provided that the lease is free or the owner's process is gone.
 	ownerTimeout = 450 * time.Millisecond
 	electTimeout = 3 * time.Second
 	// An owner that the store does not answer continues to give orders while all other instances
-	// answer its greetings. ownerActiveTime is how long an owner must not have been heard until that
-	// can no longer be the case.
+	// answer its greetings. ownerActiveTime is how long an owner must not have been heard until
+	// that can no longer be the case.
 	ownerActiveTime = answerMaxAge + claim.TakeoverMargin
 	// startupDelay is how long after its start an instance leaves cells to stronger instances that
 	// the store lists: the time that those take to start and to claim a cell.
@@ -183,8 +183,8 @@
 		Absent: func() []string {
 			now := clock.Now()
 			if now.Sub(begun) < absentAfter {
-				// Instances that are greeted rarely have not had time to answer greetings of this instance
-				// as an owner yet.
+				// Instances that are greeted rarely have not had time to answer greetings of this
+				// instance as an owner yet.
 				return nil
 			}
 			return n.members.absent(now)
@@ -192,11 +192,11 @@
 	}
 }
 
-// knownUnwritten returns for how long a lease has gone unwritten, given for how long it was watched.
-// The store's clock also covers the time before the first read, which otherwise callers would have
-// to wait out. An instance that owners do not know yet has to watch for the whole time: the store
-// may be unreachable for the owner alone, which then continues to give orders without answers of
-// instances that it does not know.
+// knownUnwritten returns for how long a lease has gone unwritten, given for how long it was
+// watched. The store's clock also covers the time before the first read, which otherwise callers
+// would have to wait out. An instance that owners do not know yet has to watch for the whole time:
+// the store may be unreachable for the owner alone, which then continues to give orders without
+// answers of instances that it does not know.
 func (n *Instance) knownUnwritten(lease claim.Snapshot, watched time.Duration) time.Duration {
 	if !n.listed.Load() {
 		return watched
--- a/cluster/ends.go
+++ b/cluster/ends.go
@@ -109,8 +109,8 @@
 	return out
 }
 
-// unstoredSuccesses returns the jobs of own cells that have succeeded but whose end is not stored yet,
-// for the next greeting.
+// unstoredSuccesses returns the jobs of own cells that have succeeded but whose end is not stored
+// yet, for the next greeting.
 func (n *Instance) unstoredSuccesses(now time.Time) []string {
 	var out []string
 	for _, c := range n.ownCells() {
--- a/cluster/ends_test.go
+++ b/cluster/ends_test.go
@@ -76,9 +76,9 @@
 
 // Guards against one lost instance stopping an owner. An owner that the store does not answer
 // continues to give orders as long as all instances it has heard answer it, since any of them could
-// take its cell. An instance was lost for good, and 15 s later the store did not answer for 4.2 s: the
-// lost instance did not answer, so that nothing started and no lease was renewed until the store was
-// back.
+// take its cell. An instance was lost for good, and 15 s later the store did not answer for 4.2 s:
+// the lost instance did not answer, so that nothing started and no lease was renewed until the
+// store was back.
 var _ = Describe("an instance that is lost before the store is unavailable", func() {
 	instanceAfterLoss := func() (*Instance, time.Time) {
 		n := testInstance(&fakePolicy{})
@@ -123,8 +123,8 @@
 	})
 })
 
-// ownerOnFullStore returns an instance that owns a cell with one job, on a store that accepts no more
-// writes. done says whether all tasks of the job are done.
+// ownerOnFullStore returns an instance that owns a cell with one job, on a store that accepts no
+// more writes. done says whether all tasks of the job are done.
 func ownerOnFullStore(ctx context.Context, done bool) (*Instance, *driver.Driver) {
 	GinkgoHelper()
 	n, s := instanceOnOwnedStore()
@@ -143,8 +143,8 @@
 	return n, d
 }
 
-// answeringPeer records the jobs that greetings report as succeeded. It answers greetings only while
-// answers is true.
+// answeringPeer records the jobs that greetings report as succeeded. It answers greetings only
+// while answers is true.
 type answeringPeer struct {
 	reported chan []string
 	answers  *atomic.Bool
--- a/cluster/greet.go
+++ b/cluster/greet.go
@@ -30,10 +30,10 @@
 	membersTable        = "members"
 	membersReadInterval = 5 * time.Second
 	// Up to smallFleet instances each read the list every membersReadInterval, more of them
-	// accordingly less often: what is read grows with the square of their number. 147 instances that
-	// read it every 5 s read 0.6 MB/s, a third of all reads of the store. An instance that starts
-	// writes itself into the list, reads it and greets, so that the others need the list only if
-	// they heard no greeting.
+	// accordingly less often: what is read grows with the square of their number. 147 instances
+	// that read it every 5 s read 0.6 MB/s, a third of all reads of the store. An instance that
+	// starts writes itself into the list, reads it and greets, so that the others need the list
+	// only if they heard no greeting.
 	smallFleet             = 30
 	maxMembersReadInterval = 30 * time.Second
 	membersRetryPause      = 300 * time.Millisecond
@@ -168,8 +168,8 @@
 	return m, err
 }
 
-// register reads the store's list of instances periodically, and writes this instance's entry if it is
-// missing or differs, until ctx ends.
+// register reads the store's list of instances periodically, and writes this instance's entry if it
+// is missing or differs, until ctx ends.
 func (n *Instance) register(ctx context.Context) {
 	own, err := json.Marshal(memberRow{Addr: n.settings.Listen.Peer, Hall: n.settings.Hall, Processor: n.processor()})
 	if err != nil {
@@ -197,8 +197,8 @@
 	}
 }
 
-// membersReadPause returns when a list of so many instances is read again: soon while the others may
-// still be starting, and less often the more there are, as all of them read it.
+// membersReadPause returns when a list of so many instances is read again: soon while the others
+// may still be starting, and less often the more there are, as all of them read it.
 func membersReadPause(listed int) time.Duration {
 	if listed <= 1 {
 		return membersRetryPause
--- a/cluster/instance.go
+++ b/cluster/instance.go
@@ -40,8 +40,8 @@
 	// Store is this instance's direct connection to the store of rows.
 	Store   rows.Store
 	Workers driver.Workers
-	// RelayWorkers sends orders that this instance relays for other owners. It keeps few connections
-	// open, since every instance may have to do so.
+	// RelayWorkers sends orders that this instance relays for other owners. It keeps few
+	// connections open, since every instance may have to do so.
 	RelayWorkers driver.Workers
 	Directory    func(rows.Store) driver.Directory
 	Configs      func(rows.Store) ConfigSource
--- a/cluster/jobs.go
+++ b/cluster/jobs.go
@@ -103,8 +103,8 @@
 const localityBonus = 0.5
 
 // relativeLoad returns how full a cell is: the fraction of its room in use, plus the queued work
-// (waiting, in ms of one processor) relative to what the cell processes in loadWindow. room and free
-// are in thousandths of a processor.
+// (waiting, in ms of one processor) relative to what the cell processes in loadWindow. room and
+// free are in thousandths of a processor.
 func relativeLoad(room, free, waiting int64) float64 {
 	if room <= 0 {
 		return unusableLoad
@@ -171,8 +171,8 @@
 	return state, err
 }
 
-// combinedState returns the state of a job given the state reported by one of its cells, reporter: it
-// is Running if any of its cells says so.
+// combinedState returns the state of a job given the state reported by one of its cells, reporter:
+// it is Running if any of its cells says so.
 func (n *Instance) combinedState(ctx context.Context, id string, reported flow.State, reporter string, cells []string) flow.State {
 	for _, cell := range cells {
 		if reported != flow.Pending {
@@ -194,8 +194,8 @@
 	return reported
 }
 
-// likelyCell returns the cell, owned by another instance, that has a job if any has: the one that was
-// seen to have it, or the only cell. It returns "" if that is not known.
+// likelyCell returns the cell, owned by another instance, that has a job if any has: the one that
+// was seen to have it, or the only cell. It returns "" if that is not known.
 func (n *Instance) likelyCell(id string) string {
 	cell := ""
 	if cells := n.jobCells.get(id); len(cells) > 0 {
@@ -375,8 +375,8 @@
 	return !checked || d.MayUse(id, account)
 }
 
-// errOtherAccount is the error between instances for a job of another client account. The caller gets
-// the same answer as if there were no such job.
+// errOtherAccount is the error between instances for a job of another client account. The caller
+// gets the same answer as if there were no such job.
 func errOtherAccount() error {
 	return kind.New(kind.Unauthorized, "the job belongs to another client account")
 }
--- a/cluster/jobs_test.go
+++ b/cluster/jobs_test.go
@@ -134,8 +134,8 @@
 })
 
 // Guards against showing a job that was deleted after its retention time as pending forever. An
-// instance that remembered the job's cell took a store with neither a record nor an end for a job that
-// had not begun.
+// instance that remembered the job's cell took a store with neither a record nor an end for a job
+// that had not begun.
 var _ = Describe("the state of a job that was deleted after its retention time", func() {
 	It("is not found even by an instance that remembers its cell", func(ctx context.Context) {
 		n := instanceWithOwner(ownerPeer{})
@@ -177,9 +177,9 @@
 	return state
 }
 
-// Guards against losing the cancellation of a job that is cancelled right after it was accepted, before
-// its cell's owner was notified. The owner did not know the job, the client was told that there is no
-// such job, and the job ran.
+// Guards against losing the cancellation of a job that is cancelled right after it was accepted,
+// before its cell's owner was notified. The owner did not know the job, the client was told that
+// there is no such job, and the job ran.
 var _ = Describe("the cancellation of a job that its owner has not been notified of", func() {
 	It("succeeds: the owner is notified, and cancels it", func(ctx context.Context) {
 		o := &lateOwner{}
--- a/cluster/members.go
+++ b/cluster/members.go
@@ -86,7 +86,8 @@
 	lastPending map[string]pendingReport
 	// roundCount is the number of rounds of greetings sent.
 	roundCount int
-	// maxListedProcessor is the largest processor share of the other instances that the store lists.
+	// maxListedProcessor is the largest processor share of the other instances that the store
+	// lists.
 	maxListedProcessor uint32
 }
 
--- a/cluster/own.go
+++ b/cluster/own.go
@@ -62,17 +62,18 @@
 	go n.greet(context.Background())
 }
 
-// configure applies the newest configuration to a cell. Each cell has an equal part of the limits of
-// client accounts, so that no owner has to ask another one before a start, nor to know for how long
-// one that is cut off continues to start tasks.
+// configure applies the newest configuration to a cell. Each cell has an equal part of the limits
+// of client accounts, so that no owner has to ask another one before a start, nor to know for how
+// long one that is cut off continues to start tasks.
 func (n *Instance) configure(d *driver.Driver) {
 	if conf := n.config.Load(); conf != nil {
 		d.Configure(conf.CellQueues(), conf.CellAccounts(len(n.division.cells()))...)
 	}
 }
 
-// answeredByAll reports whether no other instance will take a cell from this one: each that was heard
-// lately has answered the last greetings, or may not take the cell so soon after the write last.
+// answeredByAll reports whether no other instance will take a cell from this one: each that was
+// heard lately has answered the last greetings, or may not take the cell so soon after the write
+// last.
 func (n *Instance) answeredByAll(last claim.Write) bool {
 	now := clock.Now()
 	return n.members.allAnswered(now, last.ExemptInstances(now))
--- a/cluster/peers.go
+++ b/cluster/peers.go
@@ -133,8 +133,8 @@
 	return 1
 }
 
-// tieBreak orders equal candidates differently on each instance, so that several owners spread their
-// choices over the same instances.
+// tieBreak orders equal candidates differently on each instance, so that several owners spread
+// their choices over the same instances.
 func (n *Instance) tieBreak(name string) uint32 { return hash32(n.settings.Instance + "/" + name) }
 
 // hash32 returns a well-mixed hash of a text.
--- a/cluster/relay.go
+++ b/cluster/relay.go
@@ -16,8 +16,8 @@
 	"dewpass.org/wire"
 )
 
-// relays sends orders through other instances: those of the workers' hall that have the fewest orders
-// in progress. It implements driver.Relays.
+// relays sends orders through other instances: those of the workers' hall that have the fewest
+// orders in progress. It implements driver.Relays.
 type relays struct{ n *Instance }
 
 // Ready implements driver.Relays. The orders of an owner that does not reach the store itself are
@@ -52,8 +52,8 @@
 	return startResults(reply.GetStarts()), nil
 }
 
-// startRelay chooses the instance that relays orders to start runs of a job, nil if there is none. It
-// reports whether that instance was already sent the job's text.
+// startRelay chooses the instance that relays orders to start runs of a job, nil if there is none.
+// It reports whether that instance was already sent the job's text.
 func (n *Instance) startRelay(hall, job string, orders int) (*member, bool) {
 	now := clock.Now()
 	holders := n.textHolders.holders(job, now)
@@ -70,8 +70,8 @@
 // before the text is sent to another one: 32 orders of 1 KB take 0.13 s on a link of 2 Mbit/s.
 const maxRelayedOrders = 32
 
-// relayFor chooses the instance that relays orders to the workers of a hall, nil if there is none: one
-// of that hall if any is live.
+// relayFor chooses the instance that relays orders to the workers of a hall, nil if there is none:
+// one of that hall if any is live.
 func (n *Instance) relayFor(hall string) *member {
 	now := clock.Now()
 	peers := n.members.list(now, func(k *member) bool { return k.hall == hall && k.responsive(now) })
@@ -196,8 +196,8 @@
 	return &wire.Reply{Body: &wire.Reply_Hold{Hold: out}}
 }
 
-// handleStarts relays start orders to workers for the cell's owner. It returns once all are answered
-// or have timed out.
+// handleStarts relays start orders to workers for the cell's owner. It returns once all are
+// answered or have timed out.
 func (n *Instance) handleStarts(ctx context.Context, m *wire.StartOrders) (*wire.Reply, error) {
 	if m.Text == "" {
 		if m.Text = n.texts.get(m.Job); m.Text == "" {
--- a/cluster/rounds.go
+++ b/cluster/rounds.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// An instance that owns no cell greets a few others, always the same ones: those that follow it when
-// all addresses are sorted. So the cost of its greetings, and the number of its connections, do not
-// grow with the number of instances, and each instance is greeted by as many as it greets. Owners
-// greet everybody, so that everybody hears of all cells.
+// An instance that owns no cell greets a few others, always the same ones: those that follow it
+// when all addresses are sorted. So the cost of its greetings, and the number of its connections,
+// do not grow with the number of instances, and each instance is greeted by as many as it greets.
+// Owners greet everybody, so that everybody hears of all cells.
 const (
 	// maxNear is how many instances of its own hall an instance greets in each round.
 	maxNear = 4
@@ -21,7 +21,8 @@
 	newAddrTime = 3 * time.Second
 )
 
-// successors returns up to limit addresses that follow addr in a sorted list, continuing at its start.
+// successors returns up to limit addresses that follow addr in a sorted list, continuing at its
+// start.
 func successors(sorted []string, addr string, limit int) []string {
 	if len(sorted) <= limit {
 		return sorted
@@ -55,7 +56,8 @@
 	return out
 }
 
-// addrsAfter returns the addresses of live instances that follow addr, as many as an instance greets.
+// addrsAfter returns the addresses of live instances that follow addr, as many as an instance
+// greets.
 func (m *members) addrsAfter(addr string, now time.Time) []string {
 	var all []string
 	for _, k := range m.list(now, func(k *member) bool { return k.addr != addr }) {
@@ -65,8 +67,8 @@
 	return successors(all, addr, maxNear+maxFar)
 }
 
-// addresses returns the addresses of the live instances of the own hall (near), and all others (far),
-// sorted. It removes addresses at which no instance has been heard for forgetAfter.
+// addresses returns the addresses of the live instances of the own hall (near), and all others
+// (far), sorted. It removes addresses at which no instance has been heard for forgetAfter.
 func (m *members) addresses(now time.Time) (near, far []string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/cluster/rounds_test.go
+++ b/cluster/rounds_test.go
@@ -12,8 +12,8 @@
 	"dewpass.org/wire"
 )
 
-// membersOf returns the members known to an instance of hall h at address i050, which has heard near
-// instances of its own hall and far of another one.
+// membersOf returns the members known to an instance of hall h at address i050, which has heard
+// near instances of its own hall and far of another one.
 func membersOf(near, far int, now time.Time) *members {
 	m := newMembers("me", "h", nil, "i050", now)
 	for i := range near + far {
--- a/cluster/stop_test.go
+++ b/cluster/stop_test.go
@@ -18,9 +18,9 @@
 
 // Guards against cutting a request at a planned stop. With a grace of 4 s the wait for connections
 // ended at 6/10 of the grace, 2.4 s after the stop began, but the notice before it takes 2.5 s. So
-// there was no wait, and http.Server.Shutdown was called at once. From then on the server drops each
-// request that it reads, even on a connection that is new or active, and a client got EOF for a POST
-// that it had just written:
+// there was no wait, and http.Server.Shutdown was called at once. From then on the server drops
+// each request that it reads, even on a connection that is new or active, and a client got EOF for
+// a POST that it had just written:
 //
 //	22.948714 client: connected, 22.948751 request written
 //	22.948951 server: connection new, listener closed, wait over, Shutdown
@@ -108,8 +108,8 @@
 		wantStopped()
 	})
 
-	// With stops of 4.8 s instead of 3.6 s for each of seven instances that were restarted 1 s apart,
-	// so many were away at once that the score of the worst seconds fell from 0.96 to 0.79.
+	// With stops of 4.8 s instead of 3.6 s for each of seven instances that were restarted 1 s
+	// apart, so many were away at once that the score of the worst seconds fell from 0.96 to 0.79.
 	It("ends soon after the notice though a caller keeps its connection and the grace is long", func() {
 		n.reloadable.grace = 4 * leastGrace
 		c, r := dial()
--- a/cluster/suspended.go
+++ b/cluster/suspended.go
@@ -19,8 +19,8 @@
 	reported time.Duration
 }
 
-// sinceReported returns for how long the machine was suspended since the last call that returned more
-// than 0. It returns 0 for less than minSuspension.
+// sinceReported returns for how long the machine was suspended since the last call that returned
+// more than 0. It returns 0 for less than minSuspension.
 func (s *suspensionTracker) sinceReported() time.Duration {
 	total := s.total()
 	more := total - s.reported
--- a/cluster/texts.go
+++ b/cluster/texts.go
@@ -49,7 +49,8 @@
 	}
 }
 
-// textHolders records to which instances an owner has sent the text of a job. The zero value is empty.
+// textHolders records to which instances an owner has sent the text of a job. The zero value is
+// empty.
 type textHolders struct {
 	mu   sync.Mutex
 	jobs map[string]*holderList
--- a/cluster/turned_away_test.go
+++ b/cluster/turned_away_test.go
@@ -43,10 +43,10 @@
 }
 
 // Guards against refusing jobs though a peer still reaches the store. The store rejected the
-// calls of one instance for 9 s and served the others. The instance refused jobs for 2 to 3 s of them
-// ("the store is not reached"), though its peers relayed its calls: no client had called for 0.9 s, so
-// that nothing had been relayed, and a refused job causes no call to the store either. That lasted until
-// the configuration was read again.
+// calls of one instance for 9 s and served the others. The instance refused jobs for 2 to 3 s of
+// them ("the store is not reached"), though its peers relayed its calls: no client had called for
+// 0.9 s, so that nothing had been relayed, and a refused job causes no call to the store either.
+// That lasted until the configuration was read again.
 var _ = Describe("an instance whose calls the store rejects, while no client calls", func() {
 	It("knows that its peers reach the store", func(ctx context.Context) {
 		n := testInstance(&fakePolicy{})
@@ -127,8 +127,8 @@
 	return rows.Page{}, kind.Wrap(kind.Lost, ctx.Err(), "store")
 }
 
-// Guards against needless probes: they were a third of all calls that 34 instances made to the store
-// without load, 2.6 a second each, though other calls had just been answered.
+// Guards against needless probes: they were a third of all calls that 34 instances made to the
+// store without load, 2.6 a second each, though other calls had just been answered.
 var _ = Describe("a probe of the store", func() {
 	It("is sent every 0.3 s while the store is unavailable, however often that is checked", func(ctx context.Context) {
 		n := testInstance(&fakePolicy{})
--- a/cluster/yield.go
+++ b/cluster/yield.go
@@ -54,7 +54,8 @@
 }
 
 // surplus returns which of its own cells this instance should yield, and to whom: all to a much
-// stronger instance, one of several to an idle one of about the same strength. The name is "" for none.
+// stronger instance, one of several to an idle one of about the same strength. The name is "" for
+// none.
 func (n *Instance) surplus(cells map[string]*ownCell, now time.Time) (map[string]*ownCell, string) {
 	if to := n.strongerIdle(now); to != "" {
 		return cells, to
@@ -65,8 +66,8 @@
 	return lastByName(cells), n.idlePeer(now)
 }
 
-// idlePeer returns the name of an instance that owns no cell and has about this one's processor share
-// or more, "" if there is none.
+// idlePeer returns the name of an instance that owns no cell and has about this one's processor
+// share or more, "" if there is none.
 func (n *Instance) idlePeer(now time.Time) string {
 	idle := n.members.list(now, func(k *member) bool {
 		return k.free() && k.processor*strongerPercent/100 >= n.processor() && now.Sub(k.bootSince) > strongerHeardTime
--- a/driver/watch_test.go
+++ b/driver/watch_test.go
@@ -25,7 +25,7 @@
 type stallingDirectory struct {
 	mu    sync.Mutex
 	reads int
-	// stallFor is how long a stalled call waits for the first byte unless its caller ends it.
+	// silentFor is how long a stalled call waits for the first byte unless its caller ends it.
 	silentFor time.Duration
 	first     time.Time
 }
--- a/rows/client.go
+++ b/rows/client.go
@@ -385,7 +385,7 @@
 	return &a, nil
 }
 
-// reportChange calls Changed if the reachability has changed since the last call.
+// reportChange calls OnChange if the reachability has changed since the last call.
 func (c *Client) reportChange() {
 	now := [2]bool{c.DirectlyReachable(), c.Reachable()}
 	c.mu.Lock()
--- a/rows/rows.go
+++ b/rows/rows.go
@@ -26,7 +26,7 @@
 	Name  string `json:"k"`
 }
 
-// Row is a row, or the record of its deletion if Gone is set.
+// Row is a row, or the record of its deletion if Deleted is set.
 type Row struct {
 	Key
 	Value   []byte `json:"v,omitempty"`
