--- a/cell/leave_test.go
+++ b/cell/leave_test.go
@@ -121,8 +121,8 @@
 		notice  = 8 * time.Second
 		workers = 125
 		leave   = 12
-		// stopLead is how long before the end of its worker a task has to be stopped for the stop to be
-		// listed in time.
+		// stopLead is how long before the end of its worker a task has to be stopped for the stop
+		// to be listed in time.
 		stopLead = 900 * time.Millisecond
 	)
 	start := func(step flow.Step) *moveSim {
