--- a/driver/empty.go
+++ b/driver/empty.go
@@ -12,16 +12,16 @@
 
 var _ upkeep.Cell = (*Driver)(nil)
 
-// Drain implements upkeep.Cell.
-func (d *Driver) Drain(workers []string, patience time.Duration) {
+// Evacuate implements upkeep.Cell.
+func (d *Driver) Evacuate(workers []string, patience time.Duration) {
 	d.mu.Lock()
 	d.cell.Evacuate(workers, patience, clock.Now())
 	d.mu.Unlock()
 	notify(d.placeNow)
 }
 
-// Drained implements upkeep.Cell.
-func (d *Driver) Drained(worker string) bool {
+// Evacuated implements upkeep.Cell.
+func (d *Driver) Evacuated(worker string) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := clock.Now()
--- a/upkeep/doc.go
+++ b/upkeep/doc.go
@@ -11,7 +11,7 @@
 // owner that finds a machine in the record orders its upkeep again; the
 // platform gives the same answer if the upkeep was already done.
 //
-// Before a machine is taken down, its worker is drained: it receives no new
+// Before a machine is taken down, its worker is evacuated: it receives no new
 // tasks, long-running tasks are moved as far as their steps allow, and short
 // tasks may finish. After a time limit, tasks that can be restarted no longer
 // delay the upkeep.
--- a/upkeep/runner.go
+++ b/upkeep/runner.go
@@ -52,11 +52,11 @@
 
 // Cell is the cell that owns the workers.
 type Cell interface {
-	// Drain makes exactly these workers drain, each for at most limit from the first call
+	// Evacuate has exactly these workers evacuated, each for at most limit from the first call
 	// that names it.
-	Drain(workers []string, limit time.Duration)
-	// Drained reports whether a worker is drained and its machine may be taken down.
-	Drained(worker string) bool
+	Evacuate(workers []string, limit time.Duration)
+	// Evacuated reports whether a worker is evacuated and its machine may be taken down.
+	Evacuated(worker string) bool
 	// Incarnation returns the start time of the newest known incarnation of a worker, 0 if it is
 	// unknown, and whether that incarnation is certainly present now.
 	Incarnation(worker string) (born int64, sure bool)
@@ -90,7 +90,7 @@
 		return w.Bad != "" || w.Done
 	})
 	if len(waves) == 0 {
-		r.Cell.Drain(nil, 0)
+		r.Cell.Evacuate(nil, 0)
 		return nil
 	}
 	all, err := r.Platform.Machines(ctx)
@@ -113,7 +113,7 @@
 		return err
 	}
 	if len(p.remaining(w, all)) == 0 {
-		r.Cell.Drain(nil, 0)
+		r.Cell.Evacuate(nil, 0)
 		level.Info(r.Log).Log("event", "wave_done", "wave", w.Number, "machines", len(w.Machines))
 		return r.Platform.Report(ctx, w.Number, true)
 	}
@@ -135,9 +135,9 @@
 		}
 	}
 	next := p.nextToDrain(w, all, r.OwnsRack)
-	r.Cell.Drain(workerIDs(next), w.drainTime())
+	r.Cell.Evacuate(workerIDs(next), w.drainTime())
 	for _, m := range next {
-		if !r.Cell.Drained(m.Worker) {
+		if !r.Cell.Evacuated(m.Worker) {
 			continue
 		}
 		if err := r.beginUpkeep(ctx, w, &p, m); err != nil {
--- a/upkeep/upkeep_test.go
+++ b/upkeep/upkeep_test.go
@@ -49,7 +49,7 @@
 	s.machines[i].Up, s.machines[i].Worker = up, worker
 }
 
-// fakeCell is a cell whose workers count as drained unless they are busy.
+// fakeCell is a cell whose workers count as evacuated unless they are busy.
 type fakeCell struct {
 	draining []string
 	busy     map[string]bool
@@ -60,10 +60,10 @@
 	away map[string]bool
 }
 
-func (c *fakeCell) Drain(workers []string, _ time.Duration) { c.draining = workers }
-func (c *fakeCell) Drained(w string) bool                   { return !c.busy[w] }
-func (c *fakeCell) IncarnationEnded(w string, _ int64)      { c.ended = append(c.ended, w) }
-func (c *fakeCell) Incarnation(w string) (int64, bool)      { return c.born[w], !c.away[w] }
+func (c *fakeCell) Evacuate(workers []string, _ time.Duration) { c.draining = workers }
+func (c *fakeCell) Evacuated(w string) bool                    { return !c.busy[w] }
+func (c *fakeCell) IncarnationEnded(w string, _ int64)         { c.ended = append(c.ended, w) }
+func (c *fakeCell) Incarnation(w string) (int64, bool)         { return c.born[w], !c.away[w] }
 
 // fakeStore is a store with one row.
 type fakeStore struct {
@@ -163,7 +163,7 @@
 		Expect(c.ended).To(BeEmpty(), "the upkeep may be over, and the new incarnation continues")
 	})
 
-	It("waits until a worker is drained", func() {
+	It("waits until a worker is evacuated", func() {
 		c.busy["w0"] = true
 		Expect(step()).To(Succeed())
 		Expect(s.orders).To(BeEmpty())
