--- a/cell/batch_load_test.go
+++ b/cell/batch_load_test.go
@@ -15,8 +15,8 @@
 )
 
 // batchLoad returns 45 s of calls, of wide batch jobs that alone would fill two thirds of a pool,
-// and of lasting services, with one burst of calls and one of batch jobs. The policy takes long for
-// questions about batch jobs and permits a third of the workers for them.
+// and of long-running services, with one burst of calls and one of batch jobs. The policy takes
+// long for questions about batch jobs and permits a third of the workers for them.
 func batchLoad(seed uint64) *replay {
 	r := newReplay(seed, []Queue{
 		{Name: "call", Pool: "p", MaxAttempts: 2, Stretch: 1.5, Target: 250 * time.Millisecond,
@@ -53,7 +53,7 @@
 			Demand: sched.Vec{sched.MilliCPU: int64(spread(9000, 0.4, 15_000)), sched.MemoryMiB: int64(spread(9100, 0.5, 18_000))}}
 		r.job(at, fmt.Sprintf("b%04d", n), "batch", 1+n%3, step, 3800*time.Millisecond)
 	})
-	lasting := func(at time.Duration, id string) {
+	addService := func(at time.Duration, id string) {
 		step := flow.Step{Count: spread(20, 0.8, 120), LongRunning: true,
 			Demand: sched.Vec{sched.MilliCPU: int64(spread(9000, 0.4, 15_000)), sched.MemoryMiB: int64(spread(9000, 0.5, 18_000))}}
 		r.job(at, id, "service", 1, step, time.Second)
@@ -61,9 +61,9 @@
 		r.after(at+stays, func() { r.Cancel(id, r.now) })
 	}
 	for n := range 13 {
-		lasting(0, fmt.Sprintf("s%04d", n))
+		addService(0, fmt.Sprintf("s%04d", n))
 	}
-	r.arrivalsAt(45*time.Second, func(time.Duration) float64 { return 0.243 }, func(at time.Duration, n int) { lasting(at, fmt.Sprintf("t%04d", n)) })
+	r.arrivalsAt(45*time.Second, func(time.Duration) float64 { return 0.243 }, func(at time.Duration, n int) { addService(at, fmt.Sprintf("t%04d", n)) })
 	for n := range 24 {
 		step := flow.Step{Count: spread(21, 0.6, 100), Checkpoints: r.rng.Float64() < 0.8,
 			Demand: sched.Vec{sched.MilliCPU: int64(spread(9000, 0.4, 15_000)), sched.MemoryMiB: int64(spread(9100, 0.5, 18_000))}}
--- a/cell/cell.go
+++ b/cell/cell.go
@@ -75,7 +75,7 @@
 	// unasked collects, during Place, the steps that were left without a question.
 	unasked []unasked
 	counts  Counts
-	// changes collects the events of runs of lasting tasks until Changes returns them.
+	// changes collects the events of runs of long-running tasks until Changes returns them.
 	changes []RunChange
 	// recentLosses holds the workers lost within lossRetention.
 	recentLosses []workerLoss
--- a/cell/cell_test.go
+++ b/cell/cell_test.go
@@ -295,7 +295,7 @@
 		Expect(r.startAll()).To(HaveLen(1))
 	})
 
-	It("gets nothing while it leaves, and its lasting tasks are moved", func() {
+	It("gets nothing while it leaves, and its long-running tasks are moved", func() {
 		r := newRig(2)
 		r.add("j", flow.Step{Count: 1, Demand: demand(1000), LongRunning: true})
 		s := r.startAll()[0]
@@ -375,7 +375,7 @@
 		Expect(r.startAll()).To(BeEmpty())
 	})
 
-	It("moves no more tasks of a lasting step at once than may be missing", func() {
+	It("moves no more tasks of a long-running step at once than may be missing", func() {
 		r := newRig(2)
 		r.add("j", flow.Step{Count: 3, Demand: demand(1000), LongRunning: true, MaxUnavailable: 1})
 		starts := r.startAll()
--- a/cell/change.go
+++ b/cell/change.go
@@ -4,10 +4,10 @@
 
 import "dewpass.org/flow"
 
-// RunEvent is an event in the life of a run of a lasting task.
+// RunEvent is an event in the life of a run of a long-running task.
 type RunEvent string
 
-// The events of runs of lasting tasks.
+// The events of runs of long-running tasks.
 const (
 	// RunOrdered: the run was decided, and an order to start it is sent.
 	RunOrdered RunEvent = "ordered"
@@ -29,8 +29,8 @@
 	RunAdopted RunEvent = "adopted"
 )
 
-// RunChange is an event of a run of a lasting task. There are few such runs and every interruption
-// of one is noticed by users, so all of their events are reported.
+// RunChange is an event of a run of a long-running task. There are few such runs and every
+// interruption of one is noticed by users, so all of their events are reported.
 type RunChange struct {
 	Task   flow.TaskID
 	Run    int
@@ -45,7 +45,7 @@
 	return out
 }
 
-// noteChange records an event of r if its task is a lasting one.
+// noteChange records an event of r if its task is a long-running one.
 func (c *Cell) noteChange(r *run, e RunEvent) {
 	if r.stage.def.LongRunning && !r.stage.unknown {
 		c.changes = append(c.changes, RunChange{Task: r.task(), Run: r.number, Worker: r.worker.ID, Event: e})
--- a/cell/crash_test.go
+++ b/cell/crash_test.go
@@ -191,7 +191,7 @@
 	}
 }
 
-func TestLastingTaskThatCrashesItsWorkersIsGivenUp(t *testing.T) {
+func TestLongRunningTaskThatCrashesItsWorkersIsGivenUp(t *testing.T) {
 	g := NewWithT(t)
 	s := newCrashSim(1, 4, 2)
 	s.length = endless
--- a/cell/empty_test.go
+++ b/cell/empty_test.go
@@ -59,7 +59,7 @@
 		Expect(r.Evacuated("w0", r.now)).To(BeTrue(), "patience counts from the first call")
 	})
 
-	It("has its lasting tasks moved, and stays while a step would miss too many", func() {
+	It("has its long-running tasks moved, and stays while a step would miss too many", func() {
 		r := newRig(2)
 		r.add("j", flow.Step{Count: 2, Demand: demand(1000), LongRunning: true, MaxUnavailable: 1, MaxPerWorker: 1})
 		starts := r.startAll()
--- a/cell/leave_test.go
+++ b/cell/leave_test.go
@@ -36,8 +36,8 @@
 	})
 })
 
-// moveSim simulates the workers of one lasting step: stops take stopFor, starts are at work after
-// warmUp, and leaving workers end.
+// moveSim simulates the workers of one long-running step: stops take stopFor, starts are at work
+// after warmUp, and leaving workers end.
 type moveSim struct {
 	*rig
 	begun   map[string]time.Time
@@ -114,9 +114,9 @@
 	return n
 }
 
-// Guards against leaving lasting tasks on workers that leave: they were away until the leases there
-// had expired.
-var _ = Describe("a step of a hundred lasting tasks, one per worker", func() {
+// Guards against leaving long-running tasks on workers that leave: they were away until the leases
+// there had expired.
+var _ = Describe("a step of a hundred long-running tasks, one per worker", func() {
 	const (
 		notice  = 8 * time.Second
 		workers = 125
--- a/cell/reserve.go
+++ b/cell/reserve.go
@@ -163,7 +163,7 @@
 	return o
 }
 
-// neverFrees is the assumed remaining time of a lasting task; a worker that would need so long
+// neverFrees is the assumed remaining time of a long-running task; a worker that would need so long
 // makes no offer.
 const neverFrees = time.Hour
 
--- a/cell/seek.go
+++ b/cell/seek.go
@@ -9,7 +9,7 @@
 
 // The runs on an unreachable worker are certain to be over only when its leases have expired. If
 // the policy were asked for other workers only then, its answer would take seconds more, in which
-// the users of a lasting task go without it.
+// the users of a long-running task go without it.
 
 // leaseEndLead is how long before the leases of an unreachable worker expire other workers are
 // looked for. It is a little shorter than the lifetime of a ticket.
@@ -22,8 +22,8 @@
 	}
 }
 
-// askBeforeLeaseEnds marks the steps of lasting tasks that are about to be lost with their workers,
-// so that the policy is asked about them, if it permits too few other workers to run them.
+// askBeforeLeaseEnds marks the steps of long-running tasks that are about to be lost with their
+// workers, so that the policy is asked about them, if it permits too few other workers to run them.
 func (c *Cell) askBeforeLeaseEnds(now time.Time) {
 	var steps []*stage
 	lost := make(map[*stage]int)
--- a/cell/seek_test.go
+++ b/cell/seek_test.go
@@ -11,9 +11,9 @@
 	"dewpass.org/flow"
 )
 
-// Guards against asking the policy only after a lease has expired: a lasting task was away for 11
-// s, 6.4 s until the leases of its worker had expired and 4.9 s more for the question.
-func TestPolicyIsAskedAboutALastingTaskBeforeItsLeaseEnds(t *testing.T) {
+// Guards against asking the policy only after a lease has expired: a long-running task was away for
+// 11 s, 6.4 s until the leases of its worker had expired and 4.9 s more for the question.
+func TestPolicyIsAskedAboutALongRunningTaskBeforeItsLeaseEnds(t *testing.T) {
 	const lease, valid = 6 * time.Second, 2500 * time.Millisecond
 	g := NewWithT(t)
 	r := newRig(2)
@@ -35,7 +35,7 @@
 	g.Expect(r.place().Asks).To(BeEmpty(), "the worker may still come back")
 	r.now = leaseEnd.Add(-leaseEndLead)
 	asks := r.place().Asks
-	g.Expect(asks).To(HaveLen(1), "only lasting tasks are asked about ahead")
+	g.Expect(asks).To(HaveLen(1), "only long-running tasks are asked about ahead")
 	g.Expect(asks[0].Step.Job).To(Equal("j"))
 	r.now = r.now.Add(time.Second)
 	r.Advised(asks[0], both, valid, r.now)
--- a/cell/share_test.go
+++ b/cell/share_test.go
@@ -15,11 +15,11 @@
 )
 
 // Guards against a step that is too wide for the permitted workers of one cell. A step of 125
-// lasting tasks, one per worker, never had all of them at work. Its cell had 302 of 1,100 workers,
-// and the policy permitted 107 of these: 18 tasks waited to the end of the day (event "step_waits":
-// tasks 18, allowed 0, expired 107 with room on none, unasked 0, unfit 195 with room on 188), among
-// them some whose workers had left. Two thirds of the workers that could have run them were in
-// other cells.
+// long-running tasks, one per worker, never had all of them at work. Its cell had 302 of 1,100
+// workers, and the policy permitted 107 of these: 18 tasks waited to the end of the day (event
+// "step_waits": tasks 18, allowed 0, expired 107 with room on none, unasked 0, unfit 195 with room
+// on 188), among them some whose workers had left. Two thirds of the workers that could have run
+// them were in other cells.
 
 // deployment is the cells of one deployment, with a policy that permits a third of the workers for
 // a step.
@@ -83,7 +83,7 @@
 	return out
 }
 
-var _ = Describe("a wide step of lasting tasks, one per worker", func() {
+var _ = Describe("a wide step of long-running tasks, one per worker", func() {
 	const count = 125
 	wide := func(shares ...string) *flow.Spec {
 		return &flow.Spec{ID: "j", Queue: "q", Cell: "cell-0", Shares: shares, Steps: []flow.Step{{
--- a/cell/stop.go
+++ b/cell/stop.go
@@ -17,8 +17,8 @@
 	maxStallTime = 2500 * time.Millisecond
 	// gangEndGrace is how long the other members of a gang may take to end after the first one.
 	gangEndGrace = time.Second
-	// moveDuration is the approximate time it takes to move a lasting task: to stop it, start it
-	// elsewhere and have it at work.
+	// moveDuration is the approximate time it takes to move a long-running task: to stop it, start
+	// it elsewhere and have it at work.
 	moveDuration = time.Second
 	// finalMoveLead is the latest time before its worker leaves at which a task can be stopped with
 	// the stop still being listed: the time that the slowest workers take to stop a task.
@@ -129,10 +129,10 @@
 	c.noteChange(r, RunMoving)
 }
 
-// mayMove reports whether a task of a lasting step may be stopped now to be moved from a worker
-// that stays for left. If the step says how many of its tasks may be missing, that limit includes
-// all tasks that are away. Otherwise as many tasks move at a time as are needed to move all in
-// time.
+// mayMove reports whether a task of a long-running step may be stopped now to be moved from a
+// worker that stays for left. If the step says how many of its tasks may be missing, that limit
+// includes all tasks that are away. Otherwise as many tasks move at a time as are needed to move
+// all in time.
 //
 // Just before the worker leaves its remaining tasks are moved however many are away: the worker
 // ends them in any case, and their end would otherwise be known only when their leases expire.
@@ -191,7 +191,7 @@
 	return n
 }
 
-// tasksAway counts the tasks of a lasting step that are not at work.
+// tasksAway counts the tasks of a long-running step that are not at work.
 func (s *stage) tasksAway() int {
 	n := 0
 	for i := range s.tasks {
--- a/driver/events.go
+++ b/driver/events.go
@@ -105,7 +105,7 @@
 		"observed", o.Observed, "first_end", first, "last_end", last, "lists", len(a.Lists.Running), "had", len(d.cell.Runs(l.id)))
 }
 
-// logChanges logs changes to the runs of lasting tasks. The lock is held.
+// logChanges logs changes to the runs of long-running tasks. The lock is held.
 func (d *Driver) logChanges() {
 	for _, c := range d.cell.Changes() {
 		log := level.Info(d.Log)
--- a/driver/seek_test.go
+++ b/driver/seek_test.go
@@ -35,7 +35,7 @@
 	return a, err
 }
 
-var _ = ginkgo.Describe("a lasting task on a worker that is cut off", func() {
+var _ = ginkgo.Describe("a long-running task on a worker that is cut off", func() {
 	ginkgo.It("makes the owner ask the policy before the leases there expire", func(ctx context.Context) {
 		w := &cutOffWorker{restartingWorker: newRestartingWorker()}
 		d := newDriver(ctx, newMemStore(), func() {})
--- a/flow/share_test.go
+++ b/flow/share_test.go
@@ -41,13 +41,13 @@
 
 func TestOnlyIndependentLongRunningTasksMayBeShared(t *testing.T) {
 	g := NewWithT(t)
-	lasting := Step{Count: 2, LongRunning: true}
-	g.Expect((&Spec{Steps: []Step{lasting, lasting}}).Shareable()).To(BeTrue())
+	longRunning := Step{Count: 2, LongRunning: true}
+	g.Expect((&Spec{Steps: []Step{longRunning, longRunning}}).Shareable()).To(BeTrue())
 	for _, spec := range []Spec{
-		{Steps: []Step{{Count: 1}, lasting}},
-		{Steps: []Step{lasting, {Count: 2, LongRunning: true, DependsOn: []int{0}}}},
+		{Steps: []Step{{Count: 1}, longRunning}},
+		{Steps: []Step{longRunning, {Count: 2, LongRunning: true, DependsOn: []int{0}}}},
 		{Steps: []Step{{Count: 2, LongRunning: true, Gang: true}}},
-		{Steps: []Step{lasting}, RepeatCount: 2},
+		{Steps: []Step{longRunning}, RepeatCount: 2},
 	} {
 		g.Expect(spec.Shareable()).To(BeFalse())
 	}
