--- a/cmd/dewpass/main.go
+++ b/cmd/dewpass/main.go
@@ -38,8 +38,9 @@
 	return exitCode(err)
 }
 
-// exitCode returns the exit code of an error: that of its kind, or that of
-// BadRequest for an error of the command-line parser, which has no kind.
+// exitCode returns the exit code of an error: that of its kind. An error without
+// a kind counts as a command line that cannot be parsed and gets 2, the code of
+// BadRequest.
 func exitCode(err error) int {
 	e := kind.Of(err)
 	if e.Kind == kind.Internal && e.Cause == err {
