--- a/hall/doc.go
+++ b/hall/doc.go
@@ -22,6 +22,6 @@
 // by the clock of the observer. A live owner hands its racks over itself; nobody
 // takes a rack from it. While the table cannot be reached, the present owner goes
 // on. If it dies, a peer takes its racks over without the table, and the workers
-// accept the new owner once the lease of the last one has expired. When the table
-// is reachable again, its contents take precedence.
+// accept the new owner once the lease of the previous one has expired. When the
+// table is reachable again, its contents take precedence.
 package hall
--- a/hall/peers.go
+++ b/hall/peers.go
@@ -259,7 +259,7 @@
 }
 
 // Instances returns the number of live instances in all halls, this one
-// included. Only one instance of each other hall is greeted, and it reports how
+// included. Hellos go to only one instance of each other hall, which reports how
 // many instances its hall has.
 func (p *Peers) Instances(now time.Time) int {
 	remote := make(map[string]uint32)
--- a/hall/takeover.go
+++ b/hall/takeover.go
@@ -109,7 +109,7 @@
 }
 
 // claimRack writes this instance into the row of a rack. The check on the member
-// row of the last owner makes the commit fail if that owner has sent a heartbeat
+// row of the previous owner makes the commit fail if that owner has sent a heartbeat
 // meanwhile.
 func (k *Coordinator) claimRack(ctx context.Context, rack string, row versionedRackRow, member uint64, workers []ports.Instance) {
 	next := RackRow{Owner: k.Name(), Epoch: row.epoch + 1}
@@ -140,7 +140,7 @@
 }
 
 // takeWithoutTable takes racks over when the table has been unreachable for some
-// time. The workers protect the last owner: they accept a new one only once its
+// time. The workers protect the previous owner: they accept a new one only once its
 // lease has expired.
 func (k *Coordinator) takeWithoutTable(wanted []string, racks map[string][]ports.Instance) {
 	if !k.CutOff(clock.Now()) {
@@ -157,7 +157,7 @@
 }
 
 // recordLocalTakeovers writes the racks that were taken over without the table into
-// it once it is reachable. Until then their rows still name the last owner.
+// it once it is reachable. Until then their rows still name the previous owner.
 func (k *Coordinator) recordLocalTakeovers(ctx context.Context, racks map[string][]ports.Instance) {
 	var local []string
 	for r := range k.Racks.Owned() {
--- a/sched/preempt.go
+++ b/sched/preempt.go
@@ -14,7 +14,7 @@
 const holdDuration = time.Second
 
 // makeRoom chooses the worker on which making room for h loses the least work, holds it for h,
-// and asks tasks there to yield.
+// and preempts tasks there.
 func (c *Cell) makeRoom(h Handle, now time.Duration, out []Decision) []Decision {
 	r := c.record(h)
 	if r == nil || c.exceedsQuota(&r.Task) || now-r.queuedAt < r.preemptionDelay(now) {
@@ -141,8 +141,8 @@
 	return c.Config.MinRun
 }
 
-// preempt asks tasks on w to yield until r fits. If only processor time is short, throttling is
-// tried first.
+// preempt appends the decisions that preempt tasks on w until r fits. If only processor time is
+// short, throttling is tried first.
 func (c *Cell) preempt(w WorkerID, r *taskRecord, now time.Duration, out []Decision) []Decision {
 	if throttled, ok := c.throttleOnly(w, r, now, out); ok {
 		return throttled
--- a/sched/queue.go
+++ b/sched/queue.go
@@ -91,8 +91,8 @@
 	q.liveCount++
 }
 
-// removeLive uncounts a task that no longer waits. Its entry stays in the heap until it reaches
-// the top.
+// removeLive takes a task that no longer waits out of the counts. Its entry stays in the heap until
+// it reaches the top.
 func (q *classQueue) removeLive(team TeamID) {
 	q.teams[team].liveCount--
 	q.liveCount--
--- a/sched/step.go
+++ b/sched/step.go
@@ -18,7 +18,7 @@
 
 // Step decides what to do at the time now and appends the decisions to out. Started tasks are
 // accounted for as running at once. Preempted tasks are accounted for as waiting only when the
-// caller reports it with Requeue.
+// caller reports them with Requeue.
 func (c *Cell) Step(now time.Duration, out []Decision) []Decision {
 	c.queueDeferred(now)
 	c.resetSlow(now)
