--- a/upkeep/record.go
+++ b/upkeep/record.go
@@ -123,9 +123,9 @@
 	return free
 }
 
-// nextToDrain returns the machines of this cell to drain now: those that already have a slot,
+// nextToEvacuate returns the machines of this cell to evacuate now: those that already have a slot,
 // and as many others as there are free slots.
-func (r Record) nextToDrain(w *Wave, all machinesByName, mine func(rack string) bool) []Machine {
+func (r Record) nextToEvacuate(w *Wave, all machinesByName, mine func(rack string) bool) []Machine {
 	var out []Machine
 	free := r.freeSlots(w, all)
 	for _, m := range r.remaining(w, all) {
@@ -142,12 +142,13 @@
 }
 
 const (
-	minDrainTime = time.Second
-	maxDrainTime = 10 * time.Second
+	minEvacuationTime = time.Second
+	maxEvacuationTime = 10 * time.Second
 )
 
-// drainTime returns how long a machine may be drained: half of its share of the wave's time.
-func (w *Wave) drainTime() time.Duration {
+// evacuationTime returns how long the evacuation of one worker may take: half of its machine's
+// share of the wave's time.
+func (w *Wave) evacuationTime() time.Duration {
 	turns := (len(w.Machines) + w.MaxDown - 1) / max(w.MaxDown, 1)
-	return min(max(w.Duration/time.Duration(2*max(turns, 1)), minDrainTime), maxDrainTime)
+	return min(max(w.Duration/time.Duration(2*max(turns, 1)), minEvacuationTime), maxEvacuationTime)
 }
--- a/upkeep/runner.go
+++ b/upkeep/runner.go
@@ -134,8 +134,8 @@
 			return err
 		}
 	}
-	next := p.nextToDrain(w, all, r.OwnsRack)
-	r.Cell.Evacuate(workerIDs(next), w.drainTime())
+	next := p.nextToEvacuate(w, all, r.OwnsRack)
+	r.Cell.Evacuate(workerIDs(next), w.evacuationTime())
 	for _, m := range next {
 		if !r.Cell.Evacuated(m.Worker) {
 			continue
--- a/upkeep/upkeep_test.go
+++ b/upkeep/upkeep_test.go
@@ -51,16 +51,16 @@
 
 // fakeCell is a cell whose workers count as evacuated unless they are busy.
 type fakeCell struct {
-	draining []string
-	busy     map[string]bool
-	ended    []string
+	evacuating []string
+	busy       map[string]bool
+	ended      []string
 	// born holds the start times of the present incarnations.
 	born map[string]int64
 	// away holds workers that are not certainly present.
 	away map[string]bool
 }
 
-func (c *fakeCell) Evacuate(workers []string, _ time.Duration) { c.draining = workers }
+func (c *fakeCell) Evacuate(workers []string, _ time.Duration) { c.evacuating = workers }
 func (c *fakeCell) Evacuated(w string) bool                    { return !c.busy[w] }
 func (c *fakeCell) IncarnationEnded(w string, _ int64)         { c.ended = append(c.ended, w) }
 func (c *fakeCell) Incarnation(w string) (int64, bool)         { return c.born[w], !c.away[w] }
@@ -129,7 +129,7 @@
 		Expect(s.reported).To(Equal([]bool{false, true}))
 		Expect(step()).To(Succeed())
 		Expect(s.orders).To(HaveLen(3))
-		Expect(c.draining).To(BeEmpty())
+		Expect(c.evacuating).To(BeEmpty())
 	})
 
 	It("continues once a machine is back under the same worker id, and not before", func() {
@@ -167,7 +167,7 @@
 		c.busy["w0"] = true
 		Expect(step()).To(Succeed())
 		Expect(s.orders).To(BeEmpty())
-		Expect(c.draining).To(Equal([]string{"w0"}))
+		Expect(c.evacuating).To(Equal([]string{"w0"}))
 	})
 
 	It("repeats an order whose response was lost, and does not mistake a new incarnation for the old one", func() {
