--- a/wire/doc.go
+++ b/wire/doc.go
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package wire holds the messages that entry instances send each other. They
-// are generated from wire.proto by `make generate`; the generated file is
-// committed. ErrorOf and ToError carry errors of package kind across.
+// Package wire defines the messages that instances exchange. They are generated
+// from wire.proto by `make generate`, and the generated file is committed. ToError
+// and ErrorOf convert errors of package kind to messages and back.
 package wire
--- a/wire/errors.go
+++ b/wire/errors.go
@@ -8,7 +8,7 @@
 	"dewpass.org/kind"
 )
 
-// ToError returns err as a message, nil for nil.
+// ToError converts err to a message. It returns nil if err is nil.
 func ToError(err error) *Error {
 	if err == nil {
 		return nil
@@ -24,7 +24,8 @@
 	}
 }
 
-// ErrorOf returns the error that a message carries, nil for nil.
+// ErrorOf converts a message to the error that it contains, of type *kind.Error. It returns nil
+// if m is nil.
 func ErrorOf(m *Error) error {
 	if m == nil {
 		return nil
