--- a/Makefile
+++ b/Makefile
@@ -3,12 +3,14 @@
 DEPLOYMENT ?= comhar
 SEEDS ?= 20
 SECONDS_OF_LOAD ?= 20
-# The two suites of which CI passes over the specs of KNOWN-RED.txt are run by ginkgo.
+# All packages except the two suites in which CI skips the specs of KNOWN-RED.txt: those are run
+# by ginkgo.
 PACKAGES = $$(go list ./... | grep -v -e /test/proof -e /test/cluster)
-# What a suspended machine believes when it wakes: its clock can be turned with this tag alone.
+# Tests of what a suspended machine assumes when it resumes. They need the build tag faults:
+# without it the clock cannot be shifted.
 SUSPENDED = go test -tags faults ./internal/clock ./claim ./rows -run Suspension && go test -tags faults ./driver -ginkgo.focus suspended
 CLUSTER = go tool ginkgo --timeout=20m --no-color
-# Each proof starts a deployment of its own; a few run side by side.
+# Each proof starts its own deployment; four run in parallel.
 PROOF = go tool ginkgo --procs=4 --timeout=80m --no-color --seed=1
 
 .PHONY: all build demo test proof soak race lint generate bench capacity fuzz hunt
@@ -18,7 +20,7 @@
 build:
 	go build -o bin/ ./cmd/dewpass ./test/standin ./test/demo ./test/measure
 
-# A whole deployment of separate processes under a mixed load.
+# Runs a complete deployment of separate processes under a mixed load.
 demo: build
 	bin/demo --deployment $(DEPLOYMENT) --seconds $(SECONDS_OF_LOAD)
 	bin/demo --deployment platform --seconds $(SECONDS_OF_LOAD)
@@ -29,15 +31,15 @@
 	$(CLUSTER) $(PASS_OVER) ./test/cluster
 	$(PROOF) $(PASS_OVER) ./test/proof
 
-# The proofs with more seeds than the tests run.
+# Runs the proofs with more seeds than `make test`.
 proof:
 	PROOF_SEEDS=$(SEEDS) $(PROOF) ./test/proof
 
-# The soak with more seeds than the tests run, about 10 s a seed; docs/SOAK.md.
+# Runs the soak test with more seeds than `make test`, about 10 s per seed; see docs/SOAK.md.
 soak:
 	SOAK=1-$(SEEDS) $(CLUSTER) --procs=4 --timeout=80m --label-filter=soak ./test/cluster
 
-# The proofs on binaries with the race detector; a report in any log is red.
+# Runs the tests and the proofs with the race detector; a race report in any log is a failure.
 race:
 	go test -race $(PACKAGES) ./test/cluster
 	PROOF_RACE=1 $(PROOF) ./test/proof
@@ -48,13 +50,13 @@
 	go vet -tags faults ./...
 	go tool staticcheck ./...
 
-# The decisions themselves, with baselines, and the same on real processes.
+# Benchmarks the scheduling decisions, compared with baselines, and measures them on real processes.
 bench: build
 	go test -run '^$$' -bench . -benchtime 1x -timeout 30m ./sched -args -plots=$(CURDIR)/docs/plots
 	go test -run '^$$' -bench Decision -benchtime 200000x ./sched
 	bin/measure latency waits
 
-# The slopes of docs/CAPACITY.md, about six minutes.
+# Measures the slopes that docs/CAPACITY.md reports; takes about six minutes.
 capacity: build
 	bin/measure capacity
 
@@ -68,12 +70,12 @@
 	go test -run '^$$' -fuzz FuzzRows -fuzztime 20s ./platform
 	go test -run '^$$' -fuzz FuzzEntry -fuzztime 20s ./platform
 
-# Days of the users' bench, where it is there: FLEETBENCH is its program, SITES the
-# site files, DAYS how many days are drawn on each.
+# Runs simulated days of the users' benchmark, if it is installed: FLEETBENCH is its program,
+# SITES the site files, DAYS the number of random days for each site; see test/hunt/hunt.sh.
 hunt:
 	FLEETBENCH="$(FLEETBENCH)" SITES="$(SITES)" DAYS="$(DAYS)" PAIRS="$(PAIRS)" SEED="$(SEED)" test/hunt/hunt.sh
 
-# The result is committed, so that nothing else needs the generator.
+# Generates wire/wire.pb.go, which is committed so that no other target needs the generator.
 generate:
 	go build -o bin/protoc-gen-go google.golang.org/protobuf/cmd/protoc-gen-go
 	go build -o bin/genwire ./internal/genwire
--- a/test/hunt/hunt.sh
+++ b/test/hunt/hunt.sh
@@ -1,8 +1,10 @@
 #!/usr/bin/env bash
 # SPDX-License-Identifier: Apache-2.0
-# Plays days of the users' bench: the standard days, those that test/days writes
-# (PAIRS of them drawn by SEED), and days drawn by it. Needs the bench (FLEETBENCH) and site files (SITES); it says so and
-# ends well where they are not there. Prints one line a day, and what was broken.
+# Runs simulated days of the users' benchmark: the standard days, those that test/days
+# writes (PAIRS of them drawn at random from SEED), and random days of the benchmark itself
+# (DAYS for each site). Needs the benchmark program (FLEETBENCH) and site files (SITES);
+# without them it prints a message and exits with status 0. Prints one line per day and the
+# number of days in which a rule was broken or an instance exited; fails if there are any.
 set -uo pipefail
 cd "$(dirname "$0")/../.."
 if [ -z "${FLEETBENCH:-}" ] || [ ! -x "$FLEETBENCH" ] || [ -z "${SITES:-}" ]; then
